--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -13,8 +13,8 @@
 from marjoramgrade.decisions.promises import (
     PROMISE_INTERVAL_MS,
     PROMISE_MS,
-    PromiseBook,
     PromiseReply,
+    PromiseTracker,
     ReceivedPromises,
 )
 from marjoramgrade.errors import MarjoramgradeError, StaleAuthorityError
@@ -55,7 +55,7 @@
         self._own = own
         self._clock = clock
         self._metrics = metrics
-        self._book = PromiseBook(own.instance_id, own.zone)
+        self._book = PromiseTracker(own.instance_id, own.zone)
         self._book.given.has_read_table = False
         self._member_by_id: dict[str, Member] = {}
         self._acknowledged_by: set[str] = set()
@@ -78,9 +78,9 @@
     async def _members_changed(self, message: MembersChanged) -> None:
         found = {member.instance_id: member for member in message.members}
         for gone in set(self._member_by_id) - set(found):
-            self._book.forget(gone)
+            self._book.remove_member(gone)
         self._member_by_id = found
-        self._book.fleet.expect(found)
+        self._book.fleet.set_members(found)
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
@@ -108,14 +108,14 @@
         self._held_shards.add(message.shard)
         received = self._book.for_shard(message.shard)
         if message.is_proposed:
-            received.propose(message.guardians)
+            received.add_proposed_members(message.guardians)
         else:
-            received.expect(message.guardians)
+            received.set_members(message.guardians)
 
     @handles(ShardDropped)
     async def _shard_dropped(self, message: ShardDropped) -> None:
         self._held_shards.discard(message.shard)
-        self._book.drop_shard(message.shard)
+        self._book.discard_shard(message.shard)
 
     @handles(Attest)
     async def _attest(self, message: Attest) -> PromiseReply:
--- a/marjoramgrade/decisions/promises.py
+++ b/marjoramgrade/decisions/promises.py
@@ -17,7 +17,7 @@
 
 PROMISE_MS = 4_000
 PROMISE_INTERVAL_MS = 1_500
-FLEET = "fleet"
+FLEET_SCOPE = "fleet"
 
 
 class Refusal(enum.Enum):
@@ -34,7 +34,7 @@
     """Asks for a promise.
 
     Attributes:
-        scope: `FLEET`, or the name of the zone whose shard is held.
+        scope: `FLEET_SCOPE`, or the name of the zone whose shard is held.
         members: The members whose promises the asker will collect: every
             registered member, or the guardians of the shard.
     """
@@ -150,7 +150,7 @@
         self._zone_by_newcomer[newcomer] = zone
         return True
 
-    def forget(self, member: str) -> None:
+    def remove_member(self, member: str) -> None:
         """Take note that a member row was removed."""
         self._zone_by_newcomer.pop(member, None)
 
@@ -159,7 +159,7 @@
         return {
             newcomer
             for newcomer, zone in self._zone_by_newcomer.items()
-            if scope in (FLEET, zone)
+            if scope in (FLEET_SCOPE, zone)
         }
 
 
@@ -169,7 +169,7 @@
 
     Attributes:
         instance_id: This instance, whose own promise is not needed.
-        scope: `FLEET`, or the name of the zone whose shard is held.
+        scope: `FLEET_SCOPE`, or the name of the zone whose shard is held.
         acknowledged: Newcomers of the scope that this instance acknowledged.
     """
 
@@ -186,12 +186,12 @@
         members = (self._members or frozenset()) | self._proposed
         return (members | self.acknowledged) - {self.instance_id}
 
-    def expect(self, members: Iterable[str]) -> None:
+    def set_members(self, members: Iterable[str]) -> None:
         """Take over the list of members that the table holds."""
         self._members = frozenset(members)
         self._proposed = frozenset()
 
-    def propose(self, members: Iterable[str]) -> None:
+    def add_proposed_members(self, members: Iterable[str]) -> None:
         """Take note of a list that is about to be written to the shard row.
 
         Must be called before each renewal and before the takeover itself. Until
@@ -233,7 +233,7 @@
         it first. An owner without other guardians has no authority of its own:
         its member row may have been removed while its zone was cut off.
         """
-        if self._members is None or not (self.peers or self.scope == FLEET):
+        if self._members is None or not (self.peers or self.scope == FLEET_SCOPE):
             return 0
         promises = [self._promise_by_peer.get(peer) for peer in self.peers]
         ends = (0 if found is None else found.until_ms for found in promises)
@@ -276,7 +276,7 @@
 
 
 @attrs.define
-class PromiseBook:
+class PromiseTracker:
     """Every promise that this instance has given and received.
 
     Attributes:
@@ -294,7 +294,7 @@
 
     @fleet.default
     def _make_fleet(self) -> ReceivedPromises:
-        return ReceivedPromises(self.instance_id, FLEET)
+        return ReceivedPromises(self.instance_id, FLEET_SCOPE)
 
     def for_shard(self, shard: str) -> ReceivedPromises:
         """Return the promises of the guardians of a shard that is held."""
@@ -306,7 +306,7 @@
                 received.acknowledged.add(newcomer)
         return received
 
-    def drop_shard(self, shard: str) -> None:
+    def discard_shard(self, shard: str) -> None:
         """Forget the promises for a shard that is no longer held."""
         self._received_by_shard.pop(shard, None)
 
@@ -324,8 +324,8 @@
                 received.acknowledged.add(newcomer)
         return True
 
-    def forget(self, member: str) -> None:
+    def remove_member(self, member: str) -> None:
         """Take note that a member row was removed."""
-        self.given.forget(member)
+        self.given.remove_member(member)
         for received in (self.fleet, *self._received_by_shard.values()):
             received.acknowledged.discard(member)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -5,17 +5,17 @@
     HeldLease,
 )
 from marjoramgrade.decisions.promises import (
-    FLEET,
+    FLEET_SCOPE,
     PROMISE_MS,
     GivenPromises,
-    PromiseBook,
     PromiseReply,
     PromiseRequest,
+    PromiseTracker,
     ReceivedPromises,
     Refusal,
 )
 
-ASK_ALL = PromiseRequest(FLEET, frozenset("ab"))
+ASK_ALL = PromiseRequest(FLEET_SCOPE, frozenset("ab"))
 GIVEN = PromiseReply(None)
 
 
@@ -58,33 +58,33 @@
     in_zone = PromiseRequest("z", frozenset("ab"))
     assert given.attest(in_zone, 1, 0).refusal is Refusal.UNLISTED_MEMBER
     assert given.attest(PromiseRequest("y", frozenset("a")), 1, 0).refusal is None
-    given.forget("c")
+    given.remove_member("c")
     assert given.attest(ASK_ALL, 1, 0).refusal is None
     assert not GivenPromises().acknowledge("c", "z", 0), "was not admitted itself"
 
 
 def test_a_holder_needs_the_promise_of_a_newcomer_that_it_acknowledged() -> None:
     """Guards against a holder whose copy of the member list is older."""
-    book = PromiseBook("a", "z", cut_off())
-    book.fleet.expect("ab")
-    book.for_shard("z.0").expect("ab")
+    book = PromiseTracker("a", "z", cut_off())
+    book.fleet.set_members("ab")
+    book.for_shard("z.0").set_members("ab")
     assert book.acknowledge("c", "z", 0)
     assert book.acknowledge("d", "y", 0)
-    book.fleet.expect("ab")
+    book.fleet.set_members("ab")
     assert book.fleet.peers == {"b", "c", "d"}
     assert book.for_shard("z.0").peers == book.for_shard("z.1").peers | {"b"}
     assert book.for_shard("z.1").peers == {"c"}
-    book.forget("c")
+    book.remove_member("c")
     assert book.fleet.peers == {"b", "d"}
-    book.drop_shard("z.0")
+    book.discard_shard("z.0")
     assert book.for_shard("z.0").peers == set()
 
 
 def test_authority_needs_every_member_and_counts_from_before_the_request() -> None:
     """Guards against authority by a majority, or by a late answer."""
-    received = ReceivedPromises("a", FLEET)
+    received = ReceivedPromises("a", FLEET_SCOPE)
     assert not received.holds(0), "the list of members is unknown"
-    received.expect({"a", "b", "c"})
+    received.set_members({"a", "b", "c"})
     received.record("b", received.request(), GIVEN, asked_ms=100)
     assert not received.holds(100)
     received.record("c", received.request(), GIVEN, asked_ms=300)
@@ -97,10 +97,10 @@
 def test_a_guardian_that_may_be_on_the_row_is_asked_too() -> None:
     """Guards against a renewal that took effect though its answer was lost."""
     received = ReceivedPromises("a", "z")
-    received.expect({"a"})
+    received.set_members({"a"})
     assert not received.holds(0), "an owner without guardians has no authority"
-    received.expect({"a", "b"})
-    received.propose({"a", "c"})
+    received.set_members({"a", "b"})
+    received.add_proposed_members({"a", "c"})
     received.record("b", received.request(), GIVEN, asked_ms=0)
     assert not received.holds(1)
     received.record("c", received.request(), GIVEN, asked_ms=0)
@@ -110,7 +110,7 @@
 def test_promises_extend_a_lease_only_while_it_holds() -> None:
     """Guards against an owner that comes back after another took over."""
     received = ReceivedPromises("a", "z")
-    received.expect({"a", "b"})
+    received.set_members({"a", "b"})
     lease = HeldLease(1)
     lease.confirm(0)
     received.record("b", received.request(), GIVEN, asked_ms=5_900)
@@ -121,8 +121,8 @@
 
 def test_promises_confirm_only_the_newest_configuration() -> None:
     """Guards against an outage that keeps a withdrawn key in force."""
-    received = ReceivedPromises("a", FLEET)
-    received.expect({"a", "b", "c"})
+    received = ReceivedPromises("a", FLEET_SCOPE)
+    received.set_members({"a", "b", "c"})
     received.record("b", received.request(), PromiseReply(None, 7), 100)
     assert received.confirmed_from_ms(8, 200) is None
     received.record("c", received.request(), PromiseReply(None, 8), 50)
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -16,12 +16,12 @@
     TakeoverWatch,
 )
 from marjoramgrade.decisions.promises import (
-    FLEET,
+    FLEET_SCOPE,
     PROMISE_MS,
     GivenPromises,
-    PromiseBook,
     PromiseReply,
     PromiseRequest,
+    PromiseTracker,
     ReceivedPromises,
 )
 
@@ -47,7 +47,7 @@
 @attrs.define
 class Member:
     name: str
-    book: PromiseBook
+    book: PromiseTracker
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
     watch: TakeoverWatch = attrs.field(factory=TakeoverWatch)
     row: ShardRow = ShardRow("z.0")
@@ -97,8 +97,8 @@
             self.read_table(name)
 
     def make_member(self, name: str) -> Member:
-        fleet = self.received_type(name, FLEET)
-        book = PromiseBook(name, "z", self.given_type(), fleet)
+        fleet = self.received_type(name, FLEET_SCOPE)
+        book = PromiseTracker(name, "z", self.given_type(), fleet)
         book._received_by_shard["z.0"] = self.received_type(name, "z")
         return Member(name, book)
 
@@ -128,8 +128,8 @@
         member.watch.observe(self.row, self.row_version, self.now_ms)
         member.row = self.row
         member.registered = self.registered
-        member.fleet.expect(self.registered)
-        member.zone.expect({self.row.owner, *self.row.guardians})
+        member.fleet.set_members(self.registered)
+        member.zone.set_members({self.row.owner, *self.row.guardians})
 
     @rule()
     def register_newcomer(self) -> None:
@@ -161,7 +161,7 @@
     def ask_all(self, name: str) -> None:
         for received in (self.members[name].fleet, self.members[name].zone):
             for peer in sorted(received.peers):
-                self.ask(name, peer, received.scope == FLEET, is_quick=True)
+                self.ask(name, peer, received.scope == FLEET_SCOPE, is_quick=True)
 
     @rule(name=NAME, is_at_once=OFTEN)
     def change_config(self, name: str, is_at_once: bool) -> None:
@@ -189,7 +189,7 @@
             )
             taken = row.taken_by(name, tuple(self.registered))
             if allowed:
-                member.zone.propose(taken.guardians)
+                member.zone.add_proposed_members(taken.guardians)
                 write = Write(name, member.watch.version, taken)
                 self.send(member, write, is_at_once)
 
@@ -230,11 +230,11 @@
         owner = self.members[self.row.owner]
         is_current = owner.lease.epoch == self.row.epoch
         if is_current and owner.lease.holds(self.now_ms) and self.reaches[owner.name]:
-            owner.zone.propose(owner.registered)
+            owner.zone.add_proposed_members(owner.registered)
             self.row = self.row.renewed(tuple(owner.registered))
             self.row_version += 1
             if is_answered:
-                owner.zone.expect(owner.registered)
+                owner.zone.set_members(owner.registered)
                 owner.lease.confirm(self.now_ms)
 
     def find_holders(self, besides: str) -> list[str]:
@@ -274,7 +274,7 @@
 
 
 class WithoutProposals(ReceivedPromises):
-    def propose(self, members) -> None:
+    def add_proposed_members(self, members) -> None:
         pass
 
 
