--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.decisions.newcomers import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_shard
 from marjoramgrade.decisions.ownership import DRIFT_MARGIN_MS
 from marjoramgrade.decisions.promises import (
     PROMISE_INTERVAL_MS,
--- a/marjoramgrade/decisions/promises.py
+++ b/marjoramgrade/decisions/promises.py
@@ -109,7 +109,7 @@
             refusal = Refusal.NOT_READ
         elif self._writes_in_flight:
             refusal = Refusal.WRITE_IN_FLIGHT
-        elif not self.newcomers(request.scope) <= request.members:
+        elif not self.joining_members(request.scope) <= request.members:
             refusal = Refusal.UNLISTED_MEMBER
         else:
             self.until_ms = max(self.until_ms, now_ms + PROMISE_MS + DRIFT_MARGIN_MS)
@@ -132,11 +132,11 @@
         """Take note that a write took effect or certainly never will."""
         self._writes_in_flight.discard(write_id)
 
-    def acknowledge(self, newcomer: str, zone: str, now_ms: int) -> bool:
+    def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
         """Agree that a registered newcomer may change things.
 
         Args:
-            newcomer: Instance id; its member row must have been written.
+            joining_member: Instance id; its member row must have been written.
             zone: Its zone, whose shards it may take over.
             now_ms: The current time.
 
@@ -147,18 +147,18 @@
         """
         if now_ms < self.until_ms or not self.is_admitted:
             return False
-        self._zone_by_newcomer[newcomer] = zone
+        self._zone_by_newcomer[joining_member] = zone
         return True
 
     def remove_member(self, member: str) -> None:
         """Take note that a member row was removed."""
         self._zone_by_newcomer.pop(member, None)
 
-    def newcomers(self, scope: str) -> set[str]:
+    def joining_members(self, scope: str) -> set[str]:
         """Return the acknowledged newcomers that may change things in a scope."""
         return {
-            newcomer
-            for newcomer, zone in self._zone_by_newcomer.items()
+            joining_member
+            for joining_member, zone in self._zone_by_newcomer.items()
             if scope in (FLEET_SCOPE, zone)
         }
 
@@ -302,26 +302,26 @@
         if received is None:
             received = ReceivedPromises(self.instance_id, self.zone)
             self._received_by_shard[shard] = received
-            for newcomer in self.given.newcomers(self.zone):
-                received.acknowledged.add(newcomer)
+            for joining_member in self.given.joining_members(self.zone):
+                received.acknowledged.add(joining_member)
         return received
 
     def discard_shard(self, shard: str) -> None:
         """Forget the promises for a shard that is no longer held."""
         self._received_by_shard.pop(shard, None)
 
-    def acknowledge(self, newcomer: str, zone: str, now_ms: int) -> bool:
+    def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
         """Agree that a newcomer may change things; see `GivenPromises.acknowledge`.
 
         From then on this instance needs the newcomer's promise as well, even if
         its own copy of the member list is older.
         """
-        if not self.given.acknowledge(newcomer, zone, now_ms):
+        if not self.given.acknowledge(joining_member, zone, now_ms):
             return False
-        self.fleet.acknowledged.add(newcomer)
+        self.fleet.acknowledged.add(joining_member)
         if zone == self.zone:
             for received in self._received_by_shard.values():
-                received.acknowledged.add(newcomer)
+                received.acknowledged.add(joining_member)
         return True
 
     def remove_member(self, member: str) -> None:
--- a/tests/test_newcomers.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-from marjoramgrade.decisions.newcomers import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_shard
 from marjoramgrade.decisions.ownership import ShardRow
 
 
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -8,7 +8,7 @@
     run_state_machine_as_test,
 )
 
-from marjoramgrade.decisions.newcomers import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_shard
 from marjoramgrade.decisions.ownership import (
     OWNERSHIP_LEASE_MS,
     HeldLease,
@@ -139,10 +139,10 @@
 
     @rule(name=st.sampled_from("ab"))
     def acknowledge(self, name: str) -> None:
-        newcomer = self.members["c"]
+        joining_member = self.members["c"]
         book = self.members[name].book
         if "c" in self.registered and book.acknowledge("c", "z", self.now_ms):
-            newcomer.acknowledged_by.add(name)
+            joining_member.acknowledged_by.add(name)
 
     @rule(name=NAME, peer=NAME, is_fleet=st.booleans(), is_quick=OFTEN)
     def ask(self, name: str, peer: str, is_fleet: bool, is_quick: bool) -> None:
@@ -269,7 +269,7 @@
 
 
 class Hospitable(GivenPromises):
-    def acknowledge(self, newcomer: str, zone: str, now_ms: int) -> bool:
+    def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
         return True
 
 
