--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.decisions.joining import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_over_shard
 from marjoramgrade.decisions.ownership import DRIFT_MARGIN_MS
 from marjoramgrade.decisions.promises import (
     PROMISE_INTERVAL_MS,
@@ -147,7 +147,7 @@
 
     @handles(MayTakeShard)
     async def _may_take_shard(self, message: MayTakeShard) -> bool:
-        return may_take_shard(
+        return may_take_over_shard(
             self._own.instance_id,
             message.row,
             self._member_by_id,
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -14,8 +14,8 @@
 from marjoramgrade.decisions.ownership import (
     RENEW_INTERVAL_MS,
     HeldLease,
+    ObservedLease,
     ShardRow,
-    TakeoverWatch,
 )
 from marjoramgrade.errors import (
     CheckFailedError,
@@ -47,7 +47,7 @@
 
     row: ShardRow
     version: int = 0
-    watch: TakeoverWatch = attrs.field(factory=TakeoverWatch)
+    watch: ObservedLease = attrs.field(factory=ObservedLease)
     lease: HeldLease | None = None
     fence_version: int = 0
     unsettled_writes: list[str] = attrs.field(factory=list)
@@ -135,7 +135,7 @@
         state.row, state.version = stored.row, stored.version
         now_ms = self._clock.now_ms()
         state.watch.observe(stored.row, stored.version, now_ms)
-        if not state.watch.may_take(now_ms) or self._is_releasing:
+        if not state.watch.may_take_over(now_ms) or self._is_releasing:
             return
         if await self._authority.ask(MayTakeShard(stored.row)):
             await self._take(state)
@@ -151,7 +151,7 @@
             return
         state.unsettled_writes.append(write_id)
         asked_ms = self._clock.now_ms()
-        row = state.row.taken_by(self._instance_id, self._guardians)
+        row = state.row.taken_over_by(self._instance_id, self._guardians)
         try:
             state.version = await self._store.take_shard(row, state.version)
         except CheckFailedError:
@@ -211,7 +211,7 @@
     def _lose(self, state: _ShardState, lease: HeldLease) -> None:
         lease.revoke()
         state.lease = None
-        state.watch = TakeoverWatch()
+        state.watch = ObservedLease()
         state_change("shard_lost", shard=state.row.shard, epoch=lease.epoch)
         self._authority.tell(ShardDropped(state.row.shard))
         self._publish(state.row.shard, lease)
--- a/marjoramgrade/decisions/joining.py
+++ b/marjoramgrade/decisions/joining.py
@@ -28,7 +28,7 @@
     return not others or bool(others & frozenset(acknowledged_by))
 
 
-def may_take_shard(
+def may_take_over_shard(
     instance_id: str,
     row: ShardRow,
     registered: Iterable[str],
--- a/marjoramgrade/decisions/ownership.py
+++ b/marjoramgrade/decisions/ownership.py
@@ -32,7 +32,7 @@
     renewal: int = 0
     guardians: tuple[str, ...] = ()
 
-    def taken_by(self, instance_id: str, guardians: tuple[str, ...]) -> ShardRow:
+    def taken_over_by(self, instance_id: str, guardians: tuple[str, ...]) -> ShardRow:
         """Return the row after a change of owner."""
         return attrs.evolve(
             self,
@@ -82,7 +82,7 @@
 
 
 @attrs.define
-class TakeoverWatch:
+class ObservedLease:
     """A candidate's view of a lease that another instance holds."""
 
     version: int = -1
@@ -102,7 +102,7 @@
             self.version = version
             self.unchanged_since_ms = answered_ms
 
-    def may_take(self, now_ms: int, lease_ms: int = OWNERSHIP_LEASE_MS) -> bool:
+    def may_take_over(self, now_ms: int, lease_ms: int = OWNERSHIP_LEASE_MS) -> bool:
         """Return whether the observed lease has certainly lapsed."""
         if self.version < 0:
             return False
--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -1,4 +1,4 @@
-from marjoramgrade.decisions.joining import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_over_shard
 from marjoramgrade.decisions.ownership import ShardRow
 
 
@@ -8,8 +8,8 @@
     assert not may_change_config("c", {"a", "c"}, ())
     assert may_change_config("c", {"a", "c"}, {"a"})
     row = ShardRow("z.0", owner="a", epoch=1, guardians=("b",))
-    assert may_take_shard("b", row, {"a", "b"}, ())
-    assert not may_take_shard("c", row, {"a", "b", "m"}, {"m"})
-    assert may_take_shard("c", row, {"a", "b", "m"}, {"b"})
-    assert may_take_shard("c", row, {"m"}, {"m"})
-    assert may_take_shard("c", row.released(), {"a", "b"}, ())
+    assert may_take_over_shard("b", row, {"a", "b"}, ())
+    assert not may_take_over_shard("c", row, {"a", "b", "m"}, {"m"})
+    assert may_take_over_shard("c", row, {"a", "b", "m"}, {"b"})
+    assert may_take_over_shard("c", row, {"m"}, {"m"})
+    assert may_take_over_shard("c", row.released(), {"a", "b"}, ())
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -8,12 +8,12 @@
     run_state_machine_as_test,
 )
 
-from marjoramgrade.decisions.joining import may_change_config, may_take_shard
+from marjoramgrade.decisions.joining import may_change_config, may_take_over_shard
 from marjoramgrade.decisions.ownership import (
     OWNERSHIP_LEASE_MS,
     HeldLease,
+    ObservedLease,
     ShardRow,
-    TakeoverWatch,
 )
 from marjoramgrade.decisions.promises import (
     FLEET_SCOPE,
@@ -49,7 +49,7 @@
     name: str
     book: PromiseTracker
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    watch: TakeoverWatch = attrs.field(factory=TakeoverWatch)
+    watch: ObservedLease = attrs.field(factory=ObservedLease)
     row: ShardRow = ShardRow("z.0")
     registered: tuple[str, ...] = ()
     earlier: tuple[str, ...] = ()
@@ -183,11 +183,11 @@
     def take_over(self, name: str, is_at_once: bool) -> None:
         member = self.members[name]
         row = member.row
-        if name != row.owner and member.watch.may_take(self.now_ms):
-            allowed = may_take_shard(
+        if name != row.owner and member.watch.may_take_over(self.now_ms):
+            allowed = may_take_over_shard(
                 name, row, member.registered, member.acknowledged_by
             )
-            taken = row.taken_by(name, tuple(self.registered))
+            taken = row.taken_over_by(name, tuple(self.registered))
             if allowed:
                 member.zone.add_proposed_members(taken.guardians)
                 write = Write(name, member.watch.version, taken)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -73,13 +73,13 @@
 
     async def run() -> None:
         store = Store(MemoryTable())
-        first = ShardRow(SHARD).taken_by("a", ())
+        first = ShardRow(SHARD).taken_over_by("a", ())
         version = await store.take_shard(first, 0)
         fence = ShardFence(SHARD, version)
         job_version = await store.commit_records([WriteJob(JOB, 0, fence)], [])
         renewed = await store.write_shard(first.renewed(()), version)
         ended = JOB.with_outcomes({0: Outcome.DONE})
-        await store.take_shard(first.taken_by("b", ()), renewed)
+        await store.take_shard(first.taken_over_by("b", ()), renewed)
         late = [WriteJob(ended, job_version, fence)]
         with pytest.raises(CheckFailedError) as caught:
             await store.commit_records(late, [])
@@ -95,7 +95,7 @@
 
     async def run() -> int:
         store = Store(MemoryTable())
-        row = ShardRow(SHARD).taken_by("a", ())
+        row = ShardRow(SHARD).taken_over_by("a", ())
         version = await store.take_shard(row, 0)
         await store.write_shard(row.renewed(()), version)
         return await store.commit_records(
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,8 +20,8 @@
     DRIFT_MARGIN_MS,
     OWNERSHIP_LEASE_MS,
     HeldLease,
+    ObservedLease,
     ShardRow,
-    TakeoverWatch,
 )
 from marjoramgrade.decisions.takeover import Reconciliation, is_lapsed
 
@@ -62,7 +62,7 @@
 class Owner:
     name: str
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    watch: TakeoverWatch = attrs.field(factory=TakeoverWatch)
+    watch: ObservedLease = attrs.field(factory=ObservedLease)
     taken_over: Reconciliation = attrs.field(factory=lambda: Reconciliation((), 0))
     task_on: str | None = None
     session_by_worker: dict[str, int] = attrs.field(factory=dict)
@@ -136,8 +136,8 @@
     def take_over(self, is_current: bool) -> None:
         owner = self.find_owner(is_current)
         owner.watch.observe(self.row, self.version, self.now_ms)
-        if self.row.owner != owner.name and owner.watch.may_take(self.now_ms):
-            self.row = self.row.taken_by(owner.name, ())
+        if self.row.owner != owner.name and owner.watch.may_take_over(self.now_ms):
+            self.row = self.row.taken_over_by(owner.name, ())
             self.version += 1
             owner.lease = HeldLease(self.row.epoch)
             owner.lease.confirm(self.now_ms)
