--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -99,7 +99,7 @@
 
     @handles(InstancesChanged)
     async def _instances_changed(self, message: InstancesChanged) -> None:
-        self._view.take_list(message.instances, self._clock.now_ms())
+        self._view.apply_list(message.instances, self._clock.now_ms())
 
     async def _read_forever(self) -> None:
         while True:
--- a/marjoramgrade/decisions/membership.py
+++ b/marjoramgrade/decisions/membership.py
@@ -40,13 +40,13 @@
     """What a new list changed.
 
     Attributes:
-        appeared: Instances that were not known before.
-        dropped: Instances that the list no longer has.
+        added: Instances that were not known before.
+        removed: Instances that the list no longer has.
         leaving: Instances that are leaving and were not before.
     """
 
-    appeared: tuple[Instance, ...] = ()
-    dropped: tuple[Instance, ...] = ()
+    added: tuple[Instance, ...] = ()
+    removed: tuple[Instance, ...] = ()
     leaving: tuple[Instance, ...] = ()
 
 
@@ -67,7 +67,7 @@
     _instance_by_id: dict[str, Instance] = attrs.field(factory=dict)
     _observation_by_id: dict[str, Observation] = attrs.field(factory=dict)
 
-    def take_list(self, instances: Iterable[Instance], asked_ms: int) -> ListChange:
+    def apply_list(self, instances: Iterable[Instance], asked_ms: int) -> ListChange:
         """Take over a list; one that was asked for earlier is ignored.
 
         Args:
@@ -83,15 +83,15 @@
         before = self._instance_by_id
         was_leaving = {name for name in before if self.is_leaving(name)}
         after = {instance.instance_id: instance for instance in instances}
-        dropped = tuple(before[name] for name in before if name not in after)
-        for instance in dropped:
+        removed = tuple(before[name] for name in before if name not in after)
+        for instance in removed:
             self._observation_by_id.pop(instance.instance_id, None)
         for name in was_leaving & after.keys():
             self._observe(name, is_leaving=True)
         self._instance_by_id = after
         return ListChange(
             tuple(after[name] for name in after if name not in before),
-            dropped,
+            removed,
             tuple(
                 after[name]
                 for name in after
@@ -109,7 +109,7 @@
             failures = self._observation(instance_id).failures + 1
             self._observe(instance_id, failures=failures, failed_ms=now_ms)
 
-    def mark_working(self, instance_id: str, asked_ms: int) -> None:
+    def mark_responsive(self, instance_id: str, asked_ms: int) -> None:
         """Take note of an answer; one asked for before a failure is ignored.
 
         Args:
@@ -137,7 +137,7 @@
             return False
         return self._observation(instance_id).failures == 0
 
-    def may_dial(self, instance_id: str, now_ms: int) -> bool:
+    def may_connect(self, instance_id: str, now_ms: int) -> bool:
         """Return whether a connection to an instance may be tried now.
 
         An instance that is leaving is still dialled, since its tasks and its
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,16 +15,16 @@
 
 def view_of(*instances: Instance) -> MemberView:
     view = MemberView()
-    view.take_list(instances, 0)
+    view.apply_list(instances, 0)
     return view
 
 
 def test_a_new_list_tells_what_changed() -> None:
     """Guards against controllers that miss an arrival or a departure."""
     view = view_of(B1, E1)
-    change = view.take_list([attrs.evolve(B1, leaving=True), B2], 1)
-    assert [instance.instance_id for instance in change.appeared] == ["b2"]
-    assert [instance.instance_id for instance in change.dropped] == ["e1"]
+    change = view.apply_list([attrs.evolve(B1, leaving=True), B2], 1)
+    assert [instance.instance_id for instance in change.added] == ["b2"]
+    assert [instance.instance_id for instance in change.removed] == ["e1"]
     assert [instance.instance_id for instance in change.leaving] == ["b1"]
     assert view.usable(InstanceKind.BACKEND) == (B2,)
     assert view.usable(InstanceKind.BACKEND, "z") == ()
@@ -34,8 +34,8 @@
 def test_an_older_list_is_ignored() -> None:
     """Guards against answers that arrive out of order."""
     view = view_of(B1)
-    view.take_list([B1, B2], 5)
-    view.take_list([], 4)
+    view.apply_list([B1, B2], 5)
+    view.apply_list([], 4)
     assert view.usable(InstanceKind.BACKEND) == (B1, B2)
 
 
@@ -43,17 +43,17 @@
     """Guards against work for a dead server that the list still shows."""
     view = view_of(B1)
     view.mark_failed("b1", 100)
-    view.take_list([B1], 200)
+    view.apply_list([B1], 200)
     assert not view.is_usable("b1")
-    assert not view.may_dial("b1", 100 + FIRST_BACKOFF_MS - 1)
-    assert view.may_dial("b1", 100 + FIRST_BACKOFF_MS)
+    assert not view.may_connect("b1", 100 + FIRST_BACKOFF_MS - 1)
+    assert view.may_connect("b1", 100 + FIRST_BACKOFF_MS)
     for _ in range(40):
         view.mark_failed("b1", 300)
-    assert not view.may_dial("b1", 300 + MAX_BACKOFF_MS - 1)
-    assert view.may_dial("b1", 300 + MAX_BACKOFF_MS)
-    view.mark_working("b1", asked_ms=300)
+    assert not view.may_connect("b1", 300 + MAX_BACKOFF_MS - 1)
+    assert view.may_connect("b1", 300 + MAX_BACKOFF_MS)
+    view.mark_responsive("b1", asked_ms=300)
     assert not view.is_usable("b1"), "it answered before it failed"
-    view.mark_working("b1", asked_ms=301)
+    view.mark_responsive("b1", asked_ms=301)
     assert view.is_usable("b1")
 
 
@@ -61,14 +61,14 @@
     """Guards against new work on a departing server (invariant 9)."""
     view = view_of(B1)
     view.mark_leaving("b1")
-    view.take_list([B1], 1)
-    assert not view.is_usable("b1") and view.may_dial("b1", 1)
+    view.apply_list([B1], 1)
+    assert not view.is_usable("b1") and view.may_connect("b1", 1)
     view = view_of(attrs.evolve(B1, leaving=True))
-    assert view.take_list([B1], 1).leaving == ()
+    assert view.apply_list([B1], 1).leaving == ()
     assert not view.is_usable("b1")
-    view.take_list([], 2)
+    view.apply_list([], 2)
     view.mark_failed("b1", 2)
-    assert not view.may_dial("b1", 99_000)
+    assert not view.may_connect("b1", 99_000)
 
 
 def test_a_member_is_removed_only_off_the_list_and_without_leases() -> None:
