--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -135,7 +135,7 @@
     def _adopt(self, stored: StoredConfig, asked_ms: int) -> None:
         """Take over a configuration that was current at `asked_ms` or later."""
         try:
-            is_newer = self._versions.offer(stored.config)
+            is_newer = self._versions.accept_if_newer(stored.config)
         except MarjoramgradeError:
             self._metrics.retried("config_invalid")
             return
--- a/marjoramgrade/decisions/versions.py
+++ b/marjoramgrade/decisions/versions.py
@@ -26,9 +26,9 @@
 NAME = re.compile(r"[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?")
 DIGEST = re.compile(r"[0-9a-f]{64}")
 # A writer whose answer was lost finds its id among this many later changes.
-KEPT_WRITE_IDS = 64
+MAX_RECENT_WRITE_IDS = 64
 # Deletions that are remembered, so that a stale change revives no resource.
-KEPT_DELETIONS = 256
+MAX_RECORDED_DELETIONS = 256
 
 Resource = Team | Key | Zone | Service
 Check = Callable[[Config], Iterator[SettingsProblem]]
@@ -179,9 +179,9 @@
         (path for path in bases if path not in present), key=lambda path: bases[path]
     )
     horizon = config.horizon_version
-    for path in deleted[: max(0, len(deleted) - KEPT_DELETIONS)]:
+    for path in deleted[: max(0, len(deleted) - MAX_RECORDED_DELETIONS)]:
         horizon = max(horizon, bases.pop(path))
-    write_ids = (*config.recent_write_ids, change.write_id)[-KEPT_WRITE_IDS:]
+    write_ids = (*config.recent_write_ids, change.write_id)[-MAX_RECENT_WRITE_IDS:]
     return attrs.evolve(
         config,
         base_by_path=bases,
@@ -205,7 +205,7 @@
         """Whether any document has been accepted since the start."""
         return self.current.version > 0
 
-    def offer(self, config: Config) -> bool:
+    def accept_if_newer(self, config: Config) -> bool:
         """Accept a document if it is newer than the one in force.
 
         Returns:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,7 +11,7 @@
 
 from marjoramgrade.decisions import versions
 from marjoramgrade.decisions.versions import (
-    KEPT_DELETIONS,
+    MAX_RECORDED_DELETIONS,
     Change,
     ConfigStore,
     apply_change,
@@ -54,9 +54,9 @@
     """Guards against an accepted configuration that reverts (invariant 11)."""
     store = ConfigStore()
     new = Config(version=7)
-    assert store.offer(new) and store.is_loaded
-    assert not store.offer(Config(version=6, zones_by_name={"z": Zone("z")}))
-    assert not store.offer(Config(version=7, zones_by_name={"z": Zone("z")}))
+    assert store.accept_if_newer(new) and store.is_loaded
+    assert not store.accept_if_newer(Config(version=6, zones_by_name={"z": Zone("z")}))
+    assert not store.accept_if_newer(Config(version=7, zones_by_name={"z": Zone("z")}))
     assert store.current is new
 
 
@@ -67,7 +67,7 @@
     keys = {"k": Key("k", "x", "ab"), "m": Key("m", "t", "ab")}
     services = {"s": Service("s", "x")}
     with pytest.raises(SettingsError) as caught:
-        store.offer(Config(2, teams, keys, {}, services))
+        store.accept_if_newer(Config(2, teams, keys, {}, services))
     assert store.current.version == 1
     assert {problem.path for problem in caught.value.problems} == {
         "teams.t.share",
@@ -114,7 +114,7 @@
     with pytest.raises(NotFoundError):
         apply_change(config, attrs.evolve(delete, base_version=3))
     assert "a" in put_team(config, "a", base_version=0).teams_by_name
-    for n in range(KEPT_DELETIONS + 1):
+    for n in range(MAX_RECORDED_DELETIONS + 1):
         config = put_team(config, f"t{n}")
         delete = Change("teams", f"t{n}", None, config.version, f"d{n}")
         config = attrs.evolve(apply_change(config, delete), version=config.version + 1)
@@ -180,7 +180,7 @@
     def receive_copy(self, n: int, pick: int) -> None:
         store = self.operators[n].store
         before = store.current.version
-        store.offer(self.copies[pick % len(self.copies)])
+        store.accept_if_newer(self.copies[pick % len(self.copies)])
         assert store.current.version >= before
 
     @rule(n=st.integers(0, 2), name=st.sampled_from("ab"), is_delete=st.booleans())
