--- a/marjoramgrade/controllers/grantkeeper.py
+++ b/marjoramgrade/controllers/grantkeeper.py
@@ -13,7 +13,7 @@
 from marjoramgrade.clock import Clock
 from marjoramgrade.decisions import grants
 from marjoramgrade.decisions.grants import GrantsRow, combine, positive_part
-from marjoramgrade.decisions.limits import GrantBook
+from marjoramgrade.decisions.limits import HeldGrants
 from marjoramgrade.errors import (
     CheckFailedError,
     MarjoramgradeError,
@@ -78,7 +78,7 @@
         self._store = store
         self._clock = clock
         self._metrics = metrics
-        self._book = GrantBook(holder, epoch)
+        self._book = HeldGrants(holder, epoch)
         self._config = Config()
         self._read_version = 0
         self._config_version_by_team: dict[str, int] = {}
@@ -208,7 +208,7 @@
         lacking = self._book.wanted(name, wanted)
         if lacking != NOTHING:
             demand.idle_since_ms = None
-            return self._book.begin_take(name, lacking)
+            return self._book.begin_allocate(name, lacking)
         if not is_reconciled:
             return None
         return self._book.begin_confirm(name) or self._return_idle(name, demand)
--- a/marjoramgrade/decisions/grants.py
+++ b/marjoramgrade/decisions/grants.py
@@ -39,7 +39,7 @@
     return combine(lambda amount, _: amount or UNLIMITED, limit, NOTHING)
 
 
-def only_limited(amount: Resources, limit: Resources) -> Resources:
+def limited_part(amount: Resources, limit: Resources) -> Resources:
     """Return the amounts of those resources that a limit bounds."""
     return combine(lambda value, bound: value if bound else 0, amount, limit)
 
@@ -83,10 +83,10 @@
         """What a shard may take."""
         shards = {*self.amount_by_shard, *self.unconfirmed_by_shard}
         held = _total(self.held(shard) for shard in shards)
-        return only_limited(positive_part(self.limit - held), self.limit)
+        return limited_part(positive_part(self.limit - held), self.limit)
 
 
-def split(team: str, limit: Resources, shards: Iterable[str]) -> GrantsRow:
+def initial_row(team: str, limit: Resources, shards: Iterable[str]) -> GrantsRow:
     """Return the first row of a team.
 
     Half of the limit is divided evenly, so that every shard can start at once;
@@ -109,7 +109,7 @@
     return attrs.evolve(row, amount_by_shard=amounts, epoch_by_shard=epochs)
 
 
-def take(row: GrantsRow, shard: str, epoch: int, wanted: Resources) -> GrantsRow:
+def allocate(row: GrantsRow, shard: str, epoch: int, wanted: Resources) -> GrantsRow:
     """Return the row after a shard took what it wants of the unallocated part.
 
     Raises:
@@ -120,7 +120,9 @@
     return _with_amount(row, shard, row.amount(shard) + taken)
 
 
-def give_back(row: GrantsRow, shard: str, epoch: int, amount: Resources) -> GrantsRow:
+def return_unused(
+    row: GrantsRow, shard: str, epoch: int, amount: Resources
+) -> GrantsRow:
     """Return the row after a shard gave back a part that it does not use.
 
     Raises:
@@ -160,7 +162,7 @@
     unconfirmed = {}
     for shard in shards:
         before = _choose(row.limit, row.held(shard), bounds_of(NOTHING))
-        before = only_limited(before, limit)
+        before = limited_part(before, limit)
         if not before.fits(amounts[shard]):
             unconfirmed[shard] = before
     return attrs.evolve(
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -10,7 +10,7 @@
 from marjoramgrade.decisions.grants import (
     GrantsRow,
     combine,
-    only_limited,
+    limited_part,
     positive_part,
 )
 from marjoramgrade.resources import NOTHING, Resources
@@ -44,7 +44,7 @@
         row: The grants row that is in force here.
         version: Its version in the table.
         reserved: What the team's tasks of this shard use.
-        returned: What is being given back; it is not used again until a later
+        returning: What is being given back; it is not used again until a later
             row shows what became of it.
         is_pending: Whether a write based on `version` may take effect. Its
             check fails on any later version, so a later row resolves it.
@@ -53,12 +53,12 @@
     row: GrantsRow
     version: int
     reserved: Resources = NOTHING
-    returned: Resources = NOTHING
+    returning: Resources = NOTHING
     is_pending: bool = False
 
     def usable(self, shard: str) -> Resources:
         """Return what the team may use in a shard."""
-        amount = self.row.amount(shard) - self.returned
+        amount = self.row.amount(shard) - self.returning
         return combine(
             lambda value, bound: value if bound else grants.UNLIMITED,
             amount,
@@ -67,7 +67,7 @@
 
 
 @attrs.define
-class GrantBook:
+class HeldGrants:
     """The grants of every team in one shard.
 
     A team may use a resource only after this owner's claim is in the row, since
@@ -96,7 +96,7 @@
         elif version > known.version:
             known.row = row
             known.version = version
-            known.returned = NOTHING
+            known.returning = NOTHING
             known.is_pending = False
 
     def version(self, team: str) -> int:
@@ -176,7 +176,7 @@
         if grant is None:
             return NOTHING
         lacking = grant.reserved + demand - grant.usable(self.shard)
-        return only_limited(positive_part(lacking), grant.row.limit)
+        return limited_part(positive_part(lacking), grant.row.limit)
 
     def excess(self, team: str) -> Resources:
         """Return by how much running tasks are above the grant.
@@ -192,7 +192,7 @@
             return None
         return self._begin(grant, grants.claim(grant.row, self.shard, self.epoch))
 
-    def begin_take(self, team: str, wanted: Resources) -> GrantsRow | None:
+    def begin_allocate(self, team: str, wanted: Resources) -> GrantsRow | None:
         """Return the row to write to take unallocated grant.
 
         Returns:
@@ -202,7 +202,7 @@
         grant = self._idle_grant(team)
         if grant is None or not self._is_claimed(grant):
             return None
-        row = grants.take(grant.row, self.shard, self.epoch, wanted)
+        row = grants.allocate(grant.row, self.shard, self.epoch, wanted)
         return None if row == grant.row else self._begin(grant, row)
 
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
@@ -218,11 +218,11 @@
         if grant is None or not self._is_claimed(grant):
             return None
         unused = combine(min, positive_part(amount), self.headroom(team))
-        unused = only_limited(unused, grant.row.limit)
+        unused = limited_part(unused, grant.row.limit)
         if unused == NOTHING:
             return None
-        grant.returned = unused
-        row = grants.give_back(grant.row, self.shard, self.epoch, unused)
+        grant.returning = unused
+        row = grants.return_unused(grant.row, self.shard, self.epoch, unused)
         return self._begin(grant, row)
 
     def begin_confirm(self, team: str) -> GrantsRow | None:
@@ -246,7 +246,7 @@
         """Take note that the pending write certainly did not leave."""
         grant = self._grant_by_team.get(team)
         if grant is not None:
-            grant.returned = NOTHING
+            grant.returning = NOTHING
             grant.is_pending = False
 
     def _idle_grant(self, team: str) -> TeamGrant | None:
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -3,11 +3,11 @@
 from marjoramgrade.decisions.grants import (
     UNLIMITED,
     GrantsRow,
+    allocate,
     claim,
     confirm,
-    give_back,
-    split,
-    take,
+    initial_row,
+    return_unused,
     with_limit,
 )
 from marjoramgrade.errors import NotOwnerError
@@ -24,18 +24,18 @@
 
 def test_a_shard_takes_no_more_than_is_unallocated() -> None:
     """Guards against grants whose sum is above the limit (invariant 4)."""
-    row = take(row_of(10, x=3, y=4), "x", 1, Resources(9, memory_mib=9))
+    row = allocate(row_of(10, x=3, y=4), "x", 1, Resources(9, memory_mib=9))
     assert row.amount("x") == cpus(6)
     assert row.unallocated == NOTHING
-    assert give_back(row, "x", 1, cpus(99)).unallocated == cpus(6)
+    assert return_unused(row, "x", 1, cpus(99)).unallocated == cpus(6)
 
 
 def test_the_first_split_leaves_a_part_to_take() -> None:
     """Guards against a limit that lies idle in shards that do not need it."""
-    row = split("t", cpus(10), ["y", "x"])
+    row = initial_row("t", cpus(10), ["y", "x"])
     assert row.amount_by_shard == {"x": cpus(2), "y": cpus(2)}
     assert row.unallocated == cpus(6)
-    assert split("t", cpus(10), []).unallocated == cpus(10)
+    assert initial_row("t", cpus(10), []).unallocated == cpus(10)
 
 
 def test_a_lowered_limit_frees_nothing_until_each_holder_confirms() -> None:
@@ -54,7 +54,7 @@
     row = with_limit(row_of(0, x=0, y=0), cpus(8))
     assert row.amount_by_shard == {"x": cpus(4), "y": cpus(4)}
     assert row.held("y") == cpus(UNLIMITED)
-    row = confirm(give_back(row, "x", 1, cpus(4)), "x", 1)
+    row = confirm(return_unused(row, "x", 1, cpus(4)), "x", 1)
     assert row.unallocated == NOTHING
     assert confirm(row, "y", 1).unallocated == cpus(4)
     assert with_limit(row, NOTHING).unconfirmed_by_shard == {}
@@ -64,8 +64,8 @@
     """Guards against two owners that use one grant."""
     row = claim(row_of(10, x=5), "x", 3)
     for change in (
-        lambda: take(row, "x", 2, cpus(1)),
-        lambda: give_back(row, "x", 2, cpus(1)),
+        lambda: allocate(row, "x", 2, cpus(1)),
+        lambda: return_unused(row, "x", 2, cpus(1)),
         lambda: confirm(row, "x", 2),
         lambda: claim(row, "x", 2),
     ):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
 
 from marjoramgrade.decisions import grants
 from marjoramgrade.decisions.grants import UNLIMITED, GrantsRow
-from marjoramgrade.decisions.limits import GrantBook, choose_donor
+from marjoramgrade.decisions.limits import HeldGrants, choose_donor
 from marjoramgrade.errors import CheckFailedError
 from marjoramgrade.resources import NOTHING, Resources
 from marjoramgrade.table import MemoryTable, Transaction
@@ -33,8 +33,8 @@
     return Resources(accelerators=amount)
 
 
-def book_of(limit: int, amount: int) -> GrantBook:
-    book = GrantBook("x", 1)
+def book_of(limit: int, amount: int) -> HeldGrants:
+    book = HeldGrants("x", 1)
     row = GrantsRow("t", units(limit), {"x": units(amount)})
     book.observe(grants.claim(row, "x", 1), 1)
     return book
@@ -56,7 +56,7 @@
 
 def test_an_owner_uses_no_grant_before_its_claim_is_in_the_row() -> None:
     """Guards against a delayed transaction of the earlier owner."""
-    book = GrantBook("x", 2)
+    book = HeldGrants("x", 2)
     row = grants.claim(GrantsRow("t", units(9), {"x": units(5)}), "x", 1)
     book.reserve_running("t", units(4))
     book.observe(row, 1)
@@ -70,13 +70,13 @@
 def test_returned_grant_stays_unused_until_a_later_row_is_read() -> None:
     """Guards against a part that is used here and taken elsewhere."""
     book = book_of(10, 5)
-    returned = book.begin_return("t", units(3))
-    assert returned is not None and returned.amount("x") == units(2)
+    returning = book.begin_return("t", units(3))
+    assert returning is not None and returning.amount("x") == units(2)
     assert book.headroom("t").accelerators == 2
-    assert book.begin_take("t", units(1)) is None, "a write is pending"
+    assert book.begin_allocate("t", units(1)) is None, "a write is pending"
     book.observe(grants.claim(GrantsRow("t", units(10)), "x", 1), 1)
     assert book.headroom("t").accelerators == 2, "the write may still take effect"
-    book.observe(returned, 2)
+    book.observe(returning, 2)
     assert book.headroom("t").accelerators == 2
     assert book.begin_return("t", units(1)) is not None
     book.cancel("t")
@@ -108,7 +108,7 @@
 
 @attrs.define
 class Owner:
-    book: GrantBook
+    book: HeldGrants
     sent: Transaction | None = None
 
 
@@ -118,14 +118,14 @@
     Tasks outlive the owner of their shard; operators change the limit.
     """
 
-    book_type = GrantBook
+    book_type = HeldGrants
     lower = staticmethod(grants.with_limit)
 
     def __init__(self) -> None:
         super().__init__()
         self.ceiling = 6
         self.table = MemoryTable()
-        self.write(grants.split("t", units(6), SHARDS))
+        self.write(grants.initial_row("t", units(6), SHARDS))
         self.running = dict.fromkeys(SHARDS, 0)
         self.in_transit: list[tuple[str, Owner, Transaction]] = []
         self.old_rows = [self.read()]
@@ -181,7 +181,7 @@
 
     @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=OFTEN)
     def take(self, shard: str, amount: int, is_at_once: bool) -> None:
-        row = self.owners[shard].book.begin_take("t", units(amount))
+        row = self.owners[shard].book.begin_allocate("t", units(amount))
         self.send(shard, row, is_at_once)
 
     @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=OFTEN)
@@ -248,14 +248,14 @@
     run_state_machine_as_test(GrantMachine, settings=MACHINE)
 
 
-class Optimist(GrantBook):
+class Optimist(HeldGrants):
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
         row = super().begin_return(team, amount)
-        self._grant_by_team[team].returned = NOTHING
+        self._grant_by_team[team].returning = NOTHING
         return row
 
 
-class Claimless(GrantBook):
+class Claimless(HeldGrants):
     def _is_claimed(self, grant: object) -> bool:
         return True
 
