--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -215,7 +215,7 @@
     @handles(WorkerDisconnected)
     async def _worker_disconnected(self, message: WorkerDisconnected) -> None:
         if self._state is not None:
-            self._state.sessions.disconnected(message.worker_id)
+            self._state.sessions.mark_disconnected(message.worker_id)
 
     @handles(WorkerHeartbeat)
     async def _worker_heartbeat(self, message: WorkerHeartbeat) -> None:
@@ -227,7 +227,7 @@
             self._metrics.retried("heartbeat_without_authority")
             return
         now_ms = self._clock.now_ms()
-        state.sessions.granted(message.worker_id, now_ms)
+        state.sessions.record_grant(message.worker_id, now_ms)
         worker = self._worker_by_id.get(message.worker_id)
         if worker is not None:
             state.worker_ready(worker, now_ms)
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -228,7 +228,7 @@
     ) -> None:
         """Compare a worker's inventory with what should run there."""
         worker_id = message.worker_id
-        self.sessions.connected(worker_id, now_ms)
+        self.sessions.mark_connected(worker_id, now_ms)
         self.worker_ready(worker, now_ms)
         for end in message.ends:
             self.task_ended(worker_id, end, now_ms)
--- a/marjoramgrade/decisions/fencing.py
+++ b/marjoramgrade/decisions/fencing.py
@@ -6,7 +6,7 @@
 
 WORKER_LEASE_MS = 10_000
 HEARTBEAT_INTERVAL_MS = 2_500
-KEPT_HEARTBEATS = 100
+MAX_UNANSWERED_HEARTBEATS = 100
 
 
 @attrs.define
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class WorkerLease:
+class HeartbeatLease:
     """A worker's lease on running tasks, held by heartbeats that are answered.
 
     The lease counts from the time a heartbeat was sent, not from the arrival of
@@ -47,10 +47,10 @@
         self._last_seq += 1
         self._sent_ms_by_seq[self._last_seq] = now_ms
         # An answer to an older heartbeat could extend nothing any more.
-        self._sent_ms_by_seq.pop(self._last_seq - KEPT_HEARTBEATS, None)
+        self._sent_ms_by_seq.pop(self._last_seq - MAX_UNANSWERED_HEARTBEATS, None)
         return self._last_seq
 
-    def granted(self, seq: int, lease_ms: int) -> None:
+    def record_grant(self, seq: int, lease_ms: int) -> None:
         """Take the owner's answer to a heartbeat.
 
         Args:
--- a/marjoramgrade/decisions/sessions.py
+++ b/marjoramgrade/decisions/sessions.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self._session_by_id: dict[str, WorkerSession] = {}
 
-    def connected(self, worker_id: str, now_ms: int) -> None:
+    def mark_connected(self, worker_id: str, now_ms: int) -> None:
         """Note that a worker sent its inventory.
 
         Until the first grant the worker counts as leased from now on: a previous
@@ -45,11 +45,11 @@
         session.is_connected = True
         self._extend(session, now_ms)
 
-    def disconnected(self, worker_id: str) -> None:
+    def mark_disconnected(self, worker_id: str) -> None:
         """Note that the connection broke; the lease goes on."""
         self._find(worker_id).is_connected = False
 
-    def granted(self, worker_id: str, now_ms: int) -> None:
+    def record_grant(self, worker_id: str, now_ms: int) -> None:
         """Note that a heartbeat is answered now.
 
         The worker counts its lease from an earlier time, so it lapses there
@@ -80,7 +80,7 @@
         """Return the workers that messages can be sent to."""
         return [s.worker_id for s in self._session_by_id.values() if s.is_connected]
 
-    def forget(self, worker_id: str) -> None:
+    def remove(self, worker_id: str) -> None:
         """Drop the session of a worker that is gone."""
         self._session_by_id.pop(worker_id, None)
 
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -23,7 +23,7 @@
 from marjoramgrade.decisions.fencing import (
     HEARTBEAT_INTERVAL_MS,
     EpochFence,
-    WorkerLease,
+    HeartbeatLease,
 )
 
 # The timers run every 0.1 s; a longer gap shows that the process was frozen.
@@ -62,7 +62,7 @@
     capacity: dict[str, int]
     clock: Clock = attrs.field(factory=SystemClock)
     fence: EpochFence = attrs.field(factory=EpochFence)
-    lease: WorkerLease = attrs.field(factory=WorkerLease)
+    lease: HeartbeatLease = attrs.field(factory=HeartbeatLease)
     running_by_task: dict[str, RunningTask] = attrs.field(factory=dict)
     end_by_task: dict[str, dict[str, Any]] = attrs.field(factory=dict)
     session: WorkerSocket | None = None
@@ -188,7 +188,7 @@
         elif body["type"] == "grant":
             # A grant must not revive tasks whose lease has lapsed before it came.
             self.worker.check_lease()
-            self.worker.lease.granted(body["seq"], body["lease_ms"])
+            self.worker.lease.record_grant(body["seq"], body["lease_ms"])
         elif body["type"] == "start":
             self._start(body)
         elif body["type"] == "stop":
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -14,7 +14,7 @@
 from marjoramgrade.decisions.fencing import (
     WORKER_LEASE_MS,
     EpochFence,
-    WorkerLease,
+    HeartbeatLease,
 )
 from marjoramgrade.decisions.ownership import (
     DRIFT_MARGIN_MS,
@@ -73,7 +73,7 @@
 @attrs.define
 class Worker:
     fence: EpochFence
-    lease: WorkerLease = attrs.field(factory=WorkerLease)
+    lease: HeartbeatLease = attrs.field(factory=HeartbeatLease)
     session_by_epoch: dict[int, int] = attrs.field(factory=dict)
     is_running: bool = False
 
@@ -245,7 +245,7 @@
         elif self.checks_sessions and session != worker.session_by_epoch.get(epoch):
             return
         elif kind == "grant":
-            worker.lease.granted(seq, WORKER_LEASE_MS)
+            worker.lease.record_grant(seq, WORKER_LEASE_MS)
         elif worker.lease.holds(self.now_ms):
             worker.is_running = True
 
