--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -148,8 +148,8 @@
     @handles(JobAssigned)
     async def _assigned(self, message: JobAssigned) -> None:
         # Others learn of the job from the change feed, which costs no read each.
-        is_near = message.shard in self._own_shards
-        if is_near and message.job_id not in self._job_by_id:
+        is_own_shard = message.shard in self._own_shards
+        if is_own_shard and message.job_id not in self._job_by_id:
             self.spawn(self._read_quietly(message.job_id))
 
     @handles(JobsChanged)
@@ -266,8 +266,8 @@
         for stored in newer:
             self._job_by_id[stored.job.job_id] = stored
             if stored.job.state is not JobState.OPEN:
-                is_near = stored.job.shard in self._own_shards
-                self._ended.note(stored.job, stored.version, is_near, now_ms)
+                is_own_shard = stored.job.shard in self._own_shards
+                self._ended.record(stored.job, stored.version, is_own_shard, now_ms)
         for subscriber in self._subscribers:
             subscriber.tell(JobsChanged(newer, read_version))
 
@@ -276,7 +276,7 @@
         while True:
             await asyncio.sleep(FORGET_INTERVAL_MS / 1000)
             now_ms = self._clock.now_ms()
-            for job_id in self._ended.pop_forgettable(now_ms):
+            for job_id in self._ended.pop_evictable(now_ms):
                 self._job_by_id.pop(job_id, None)
             expired = self._ended.pop_expired(now_ms)
             if not expired:
@@ -288,7 +288,7 @@
                 self._metrics.retried("retention_table_error")
 
     def _is_newer(self, stored: StoredJob) -> bool:
-        if self._ended.is_forgotten(stored.job, stored.version):
+        if self._ended.is_evicted(stored.job, stored.version):
             return False
         known = self._job_by_id.get(stored.job.job_id)
         return known is None or known.version < stored.version
--- a/marjoramgrade/decisions/retention.py
+++ b/marjoramgrade/decisions/retention.py
@@ -9,7 +9,7 @@
 from marjoramgrade.model import Job
 
 # Lists and watches show an ended job for this long; its row is kept longer.
-KEPT_IN_MEMORY_MS = 3_600_000
+MEMORY_RETENTION_MS = 3_600_000
 MAX_DELETED_AT_ONCE = 100
 
 
@@ -33,27 +33,27 @@
         self._in_table: deque[_EndedJob] = deque()
         self._forgotten_version = 0
 
-    def note(self, job: Job, version: int, is_near: bool, now_ms: int) -> None:
+    def record(self, job: Job, version: int, is_own_shard: bool, now_ms: int) -> None:
         """Take note of an ended job.
 
         Args:
             job: The job.
             version: Version of its row.
-            is_near: Whether instances of this zone delete its row.
+            is_own_shard: Whether instances of this zone delete its row.
             now_ms: The current time.
         """
         ended = _EndedJob(job.job_id, version, now_ms)
         self._in_memory.append(ended)
-        if is_near:
+        if is_own_shard:
             self._in_table.append(ended)
 
-    def is_forgotten(self, job: Job, version: int) -> bool:
+    def is_evicted(self, job: Job, version: int) -> bool:
         """Return whether a row that was read again is of a forgotten job."""
         return version <= self._forgotten_version and not job.is_open
 
-    def pop_forgettable(self, now_ms: int) -> list[str]:
+    def pop_evictable(self, now_ms: int) -> list[str]:
         """Return the jobs that memory need not keep any longer."""
-        kept_ms = min(KEPT_IN_MEMORY_MS, self._retention_ms)
+        kept_ms = min(MEMORY_RETENTION_MS, self._retention_ms)
         forgotten = []
         while self._in_memory and now_ms >= self._in_memory[0].ended_ms + kept_ms:
             ended = self._in_memory.popleft()
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -1,6 +1,6 @@
 from marjoramgrade.decisions.retention import (
-    KEPT_IN_MEMORY_MS,
     MAX_DELETED_AT_ONCE,
+    MEMORY_RETENTION_MS,
     EndedJobs,
 )
 from marjoramgrade.model import Job, JobSpec, Kind, Outcome
@@ -16,10 +16,10 @@
 def test_ended_jobs_leave_memory_and_later_the_table() -> None:
     """Guards against memory and rows that grow with every job for ever."""
     ended = EndedJobs(RETENTION_MS)
-    ended.note(*_ended(1), True, now_ms=0)
-    ended.note(*_ended(2), False, now_ms=1)
-    assert ended.pop_forgettable(KEPT_IN_MEMORY_MS - 1) == []
-    assert ended.pop_forgettable(KEPT_IN_MEMORY_MS + 1) == ["j-1", "j-2"]
+    ended.record(*_ended(1), True, now_ms=0)
+    ended.record(*_ended(2), False, now_ms=1)
+    assert ended.pop_evictable(MEMORY_RETENTION_MS - 1) == []
+    assert ended.pop_evictable(MEMORY_RETENTION_MS + 1) == ["j-1", "j-2"]
     assert ended.pop_expired(RETENTION_MS - 1) == {}
     assert ended.pop_expired(RETENTION_MS + 1) == {"j-1": 1}
 
@@ -27,17 +27,17 @@
 def test_a_forgotten_job_that_is_read_again_is_not_announced_again() -> None:
     """Guards against watches that show an old end once more."""
     ended = EndedJobs(RETENTION_MS)
-    ended.note(*_ended(5), True, now_ms=0)
-    assert not ended.is_forgotten(*_ended(5))
-    ended.pop_forgettable(KEPT_IN_MEMORY_MS)
-    assert ended.is_forgotten(*_ended(5))
-    assert not ended.is_forgotten(*_ended(6))
+    ended.record(*_ended(5), True, now_ms=0)
+    assert not ended.is_evicted(*_ended(5))
+    ended.pop_evictable(MEMORY_RETENTION_MS)
+    assert ended.is_evicted(*_ended(5))
+    assert not ended.is_evicted(*_ended(6))
 
 
 def test_deletions_are_bounded() -> None:
     """Guards against one transaction with every row of a busy day."""
     ended = EndedJobs(RETENTION_MS)
     for number in range(MAX_DELETED_AT_ONCE + 1):
-        ended.note(*_ended(number), True, now_ms=0)
+        ended.record(*_ended(number), True, now_ms=0)
     assert len(ended.pop_expired(RETENTION_MS)) == MAX_DELETED_AT_ONCE
     assert len(ended.pop_expired(RETENTION_MS)) == 1
