--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -16,8 +16,8 @@
     Backoff,
     RetryBudget,
     RetryDecision,
-    Verdict,
-    may_retry,
+    RetryVerdict,
+    decide_retry,
 )
 from marjoramgrade.errors import (
     DeadlineExceededError,
@@ -209,7 +209,7 @@
             except MarjoramgradeError as error:
                 tried.add(summary.shard)
                 decision = self._decide(request, error, attempts, deadline_ms)
-                if decision.verdict is not Verdict.RETRY:
+                if decision.verdict is not RetryVerdict.RETRY:
                     raise
                 self._metrics.retried(error.code)
                 await asyncio.sleep(decision.delay_ms / 1000)
@@ -222,9 +222,9 @@
         deadline_ms: int,
     ) -> RetryDecision:
         if not isinstance(error, RETRYABLE):
-            return RetryDecision(Verdict.NOT_SAFE)
+            return RetryDecision(RetryVerdict.NOT_SAFE)
         attempt = Attempt(request.idempotent, error.ran, True, attempts, deadline_ms)
-        return may_retry(attempt, Backoff(), self._budget, self._clock.now_ms())
+        return decide_retry(attempt, Backoff(), self._budget, self._clock.now_ms())
 
     async def _run_on(self, summary: DispatchSummary, request: RunRequest) -> RunReply:
         if summary.owner == self._instance_id:
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -11,7 +11,7 @@
 from marjoramgrade.decisions.actions import Ending, StartTask
 from marjoramgrade.decisions.excess import choose_excess
 from marjoramgrade.decisions.outcomes import OutcomeBook
-from marjoramgrade.decisions.retries import RETRIES, RetryPolicy, TaskAttempts
+from marjoramgrade.decisions.retries import RETRY_POLICIES, RetryPolicy, TaskAttempts
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.sessions import WorkerSessions
 from marjoramgrade.decisions.takeover import Reconciliation
@@ -104,7 +104,7 @@
         )
         reconciliation = Reconciliation(roster.worker_ids, now_ms)
         retry_by_kind = {
-            kind: RETRIES.get(policies.retry)()
+            kind: RETRY_POLICIES.get(policies.retry)()
             for kind, policies in policies_by_kind.items()
         }
         tasks = cls(
--- a/marjoramgrade/decisions/retries.py
+++ b/marjoramgrade/decisions/retries.py
@@ -45,10 +45,10 @@
         ...
 
 
-RETRIES: Registry[Callable[[], RetryPolicy]] = Registry("retry policy")
+RETRY_POLICIES: Registry[Callable[[], RetryPolicy]] = Registry("retry policy")
 
 
-@RETRIES.register("backoff")
+@RETRY_POLICIES.register("backoff")
 @attrs.frozen
 class Backoff:
     """Doubles the pause with every attempt.
@@ -70,7 +70,7 @@
         return min(self.longest_ms, self.first_ms << (attempts - 1))
 
 
-@RETRIES.register("task_backoff")
+@RETRY_POLICIES.register("task_backoff")
 @attrs.frozen
 class TaskBackoff(Backoff):
     """Longer pauses for tasks; their job bounds the attempts.
@@ -87,9 +87,9 @@
         return super().delay_ms(min(attempts, MAX_DOUBLINGS))
 
 
-@RETRIES.register("never")
+@RETRY_POLICIES.register("never")
 @attrs.frozen
-class Never:
+class NoRetry:
     """Makes no second attempt."""
 
     def delay_ms(self, attempts: int) -> int | None:
@@ -147,7 +147,7 @@
     deadline_ms: int
 
 
-class Verdict(enum.Enum):
+class RetryVerdict(enum.Enum):
     """What to do with a request whose latest attempt brought no answer."""
 
     RETRY = "retry"
@@ -161,7 +161,7 @@
 class RetryDecision:
     """A verdict, and the pause before the next attempt if there is one."""
 
-    verdict: Verdict
+    verdict: RetryVerdict
     delay_ms: int = 0
 
 
@@ -186,7 +186,7 @@
     return idempotent or certainly_not_run(ran, bytes_sent)
 
 
-def may_retry(
+def decide_retry(
     attempt: Attempt, policy: RetryPolicy, budget: RetryBudget, now_ms: int
 ) -> RetryDecision:
     """Decide whether a request is sent again; a retry is charged to the budget.
@@ -198,15 +198,15 @@
         now_ms: The current time.
     """
     if not is_safe_to_repeat(attempt.idempotent, attempt.ran, attempt.bytes_sent):
-        return RetryDecision(Verdict.NOT_SAFE)
+        return RetryDecision(RetryVerdict.NOT_SAFE)
     delay_ms = policy.delay_ms(attempt.attempts)
     if delay_ms is None:
-        return RetryDecision(Verdict.EXHAUSTED)
+        return RetryDecision(RetryVerdict.EXHAUSTED)
     if now_ms + delay_ms >= attempt.deadline_ms:
-        return RetryDecision(Verdict.NO_TIME)
+        return RetryDecision(RetryVerdict.NO_TIME)
     if not budget.try_spend(now_ms):
-        return RetryDecision(Verdict.OVER_BUDGET)
-    return RetryDecision(Verdict.RETRY, delay_ms)
+        return RetryDecision(RetryVerdict.OVER_BUDGET)
+    return RetryDecision(RetryVerdict.RETRY, delay_ms)
 
 
 class TaskEnd(enum.Enum):
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -19,7 +19,7 @@
 from marjoramgrade.decisions.placement import PLACEMENTS
 from marjoramgrade.decisions.preemption import PREEMPTIONS
 from marjoramgrade.decisions.queues import QUEUE_ORDERS
-from marjoramgrade.decisions.retries import RETRIES
+from marjoramgrade.decisions.retries import RETRY_POLICIES
 from marjoramgrade.filters import access, requests, route  # noqa: F401  registers
 from marjoramgrade.filters.chain import FILTERS, Chain, Environment
 from marjoramgrade.messages.ownership import DrainRequests, ReleaseShards
@@ -32,7 +32,7 @@
     queue_order=QUEUE_ORDERS,
     placement=PLACEMENTS,
     preemption=PREEMPTIONS,
-    retry=RETRIES,
+    retry=RETRY_POLICIES,
 )
 FLUSH_INTERVAL_MS = 1_000
 SHUTDOWN_POLL_MS = 20
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,15 +6,15 @@
     MAX_LOST_WORKERS,
     MAX_REFUSED_STARTS,
     MAX_REQUEST_ATTEMPTS,
-    RETRIES,
+    RETRY_POLICIES,
     STABLE_RUN_MS,
     Attempt,
     RetryBudget,
+    RetryVerdict,
     TaskAttempts,
     TaskEnd,
-    Verdict,
+    decide_retry,
     is_safe_to_repeat,
-    may_retry,
 )
 from marjoramgrade.errors import Ran
 from marjoramgrade.registry import UnknownNameError
@@ -50,27 +50,27 @@
 
 def test_retries_end_with_the_deadline_and_the_attempts() -> None:
     """Guards against retries that nobody waits for."""
-    policy = RETRIES.get("backoff")()
+    policy = RETRY_POLICIES.get("backoff")()
 
-    def verdict(attempt: Attempt, now_ms: int = 0) -> Verdict:
-        return may_retry(attempt, policy, RetryBudget(), now_ms).verdict
+    def verdict(attempt: Attempt, now_ms: int = 0) -> RetryVerdict:
+        return decide_retry(attempt, policy, RetryBudget(), now_ms).verdict
 
-    assert verdict(SENT) is Verdict.RETRY
-    assert verdict(SENT, now_ms=990) is Verdict.NO_TIME
+    assert verdict(SENT) is RetryVerdict.RETRY
+    assert verdict(SENT, now_ms=990) is RetryVerdict.NO_TIME
     last = attrs.evolve(SENT, attempts=MAX_REQUEST_ATTEMPTS)
-    assert verdict(last) is Verdict.EXHAUSTED
-    assert verdict(attrs.evolve(SENT, idempotent=False)) is Verdict.NOT_SAFE
+    assert verdict(last) is RetryVerdict.EXHAUSTED
+    assert verdict(attrs.evolve(SENT, idempotent=False)) is RetryVerdict.NOT_SAFE
 
 
 def test_the_budget_bounds_retries_to_a_tenth_of_the_requests() -> None:
     """Guards against retries that multiply the load of an outage."""
     budget = RetryBudget()
-    policy = RETRIES.get("backoff")()
+    policy = RETRY_POLICIES.get("backoff")()
     retries = 0
     for _ in range(1_000):
         budget.record_request()
-        decision = may_retry(SENT, policy, budget, 0)
-        retries += decision.verdict is Verdict.RETRY
+        decision = decide_retry(SENT, policy, budget, 0)
+        retries += decision.verdict is RetryVerdict.RETRY
     assert retries == 100 + BUDGET_FLOOR
     assert not budget.try_spend(999)
     spent = [budget.try_spend(60_000) for _ in range(BUDGET_FLOOR + 1)]
@@ -79,12 +79,12 @@
 
 def test_policies_are_found_by_name() -> None:
     """Guards against settings that name a policy which does not exist."""
-    assert list(RETRIES.iter_names()) == ["backoff", "never", "task_backoff"]
-    assert RETRIES.get("never")().delay_ms(1) is None
-    backoff = RETRIES.get("backoff")()
+    assert list(RETRY_POLICIES.iter_names()) == ["backoff", "never", "task_backoff"]
+    assert RETRY_POLICIES.get("never")().delay_ms(1) is None
+    backoff = RETRY_POLICIES.get("backoff")()
     assert [backoff.delay_ms(n) for n in (1, 2, 3, 4)] == [20, 40, 80, None]
     with pytest.raises(UnknownNameError):
-        RETRIES.get("always")
+        RETRY_POLICIES.get("always")
 
 
 def test_only_a_real_start_counts_as_an_attempt_of_a_task() -> None:
