--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -195,7 +195,7 @@
         if self._lead is not lead:
             return
         starts = []
-        for action in lead.state.take_actions():
+        for action in lead.state.pop_actions():
             if isinstance(action, StartRun):
                 starts.append(action)
             else:
@@ -308,7 +308,7 @@
         Returns:
             A task that ends once all is stored, or None if nothing is to be.
         """
-        changed = lead.state.take_changed()
+        changed = lead.state.pop_changed_jobs()
         if not changed and ends is None and not starts:
             return None
         writes = tuple(
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -87,7 +87,7 @@
             "lead_taken",
             epoch=message.epoch,
             jobs=len(state.job_by_id),
-            open=len(state.open_by_id),
+            open=len(state.open_job_by_id),
             workers=len(inheritance.roster),
         )
         self._perform(lead)
@@ -174,7 +174,7 @@
             return
         lead.state.config = message.config
         lead.state.evacuated_zones = message.evacuated_zones
-        for progress in lead.state.open_by_id.values():
+        for progress in lead.state.open_job_by_id.values():
             queue = message.config.queue_by_name.get(progress.job.queue)
             if queue is not None:
                 progress.queue = queue
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -78,7 +78,7 @@
         queue = await self._find_queue(job.queue, message.config_version)
         if not lead.reachable:
             raise TableRefusedError("the store cannot be reached")
-        if len(lead.state.open_by_id) >= MAX_OPEN_JOBS:
+        if len(lead.state.open_job_by_id) >= MAX_OPEN_JOBS:
             raise OverloadedError("too many jobs are open")
         progress = lead.state.add_job(job, queue, self._clock.now_ms())
         write = RowWrite(
@@ -90,7 +90,7 @@
         try:
             await self._settle(lead, write, may_refuse=True)
         except TableRefusedError:
-            lead.state.drop_job(job.job_id)
+            lead.state.remove_job(job.job_id)
             raise
         progress.stored = True
         logs.state_change(
@@ -200,7 +200,7 @@
         waiting = sorted(lead.planner.waiting_by_reason.items())
         logs.state_change(
             "load",
-            open=len(lead.state.open_by_id),
+            open=len(lead.state.open_job_by_id),
             waiting=",".join(f"{reason}={count}" for reason, count in waiting),
             workers=len(usable),
             cpu_capacity=capacity,
@@ -219,7 +219,7 @@
         for progress in list(lead.state.job_by_id.values()):
             if progress.shown_state.is_final and progress.ended_unix_ms < oldest_ms:
                 job_id = progress.job.job_id
-                lead.state.drop_job(job_id)
+                lead.state.remove_job(job_id)
                 self._save(
                     lead,
                     RowWrite(job_row(job_id), remove=True),
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -162,7 +162,7 @@
         worker = choose_worker(step, fitting)
         if worker is None:
             return False
-        run = self.state.next_run(step, index)
+        run = self.state.next_run_number(step, index)
         self.state.place(step, index, worker, run, now_ms)
         return True
 
@@ -176,7 +176,7 @@
     def _collect(self, now_ms: int, unix_ms: int) -> list[Waiting]:
         return [
             self._describe(step, now_ms, unix_ms)
-            for progress in self.state.open_by_id.values()
+            for progress in self.state.open_job_by_id.values()
             if not progress.state.is_final
             for step in self._iter_waiting(progress, now_ms, unix_ms)
         ]
@@ -238,7 +238,7 @@
         chosen = self._reserve_gang(step, permitted, now_ms)
         if chosen is None:
             return "no_room"
-        run = self.state.next_run(step, 0)
+        run = self.state.next_run_number(step, 0)
         for index, worker in enumerate(chosen):
             self.state.place(step, index, worker, run, now_ms)
         return ""
@@ -305,6 +305,6 @@
         self.lines.began(instance_id, decide_ms)
         book.is_pending = True
         job_id, occurrence, index = step.key
-        self.state.act(
+        self.state.add_action(
             AskAdvice(job_id, occurrence, index, tuple(asked), instance_id, decide_ms)
         )
--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -162,7 +162,7 @@
         if self.phases[index] is TaskPhase.WAITING:
             self.phases[index] = TaskPhase.PLACED
 
-    def drop_run(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Forget a run; its task waits again unless it is done or has a copy."""
         index = run.task.index
         runs = self.runs_by_index.get(index, [])
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -1,6 +1,7 @@
 """Takes over what callers and workers report of jobs of steps and their runs.
 
-Events come in as calls with the time as an argument; see `stepbook` for what goes out.
+Events come in as calls with the time as an argument; see `steptracker` for what goes
+out.
 """
 
 from __future__ import annotations
@@ -9,13 +10,13 @@
 
 import attrs
 
-from marjoramgrade.decisions.stepbook import StepBook
 from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.steporders import (
     StopRun,
 )
 from marjoramgrade.decisions.stepprogress import SLOW_FACTOR, StepProgress, TaskPhase
 from marjoramgrade.decisions.steprun import Run, RunPhase
+from marjoramgrade.decisions.steptracker import StepTracker
 from marjoramgrade.stepjobs import (
     Ending,
     RunEnd,
@@ -30,20 +31,20 @@
 
 
 @attrs.define(eq=False)
-class StepState(StepBook):
+class StepState(StepTracker):
     """Everything the leader knows of jobs of steps and of the workers."""
 
     def start_confirmed(
         self, worker_id: str, task: TaskRef, number: int, now_ms: int
     ) -> None:
         """Note that a worker has begun a run."""
-        run = self._run(worker_id, task, number)
+        run = self._find_run(worker_id, task, number)
         if run is not None:
             self._begin(run, now_ms)
 
     def start_refused(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
         """Note that a worker did not begin a run and never will."""
-        run = self._run(worker_id, task, number)
+        run = self._find_run(worker_id, task, number)
         if run is None or run.running_since_ms:
             return None
         self._detach(run)
@@ -51,7 +52,7 @@
 
     def start_unknown(self, worker_id: str, task: TaskRef, number: int) -> None:
         """Note that nobody knows whether a worker begins a run."""
-        run = self._run(worker_id, task, number)
+        run = self._find_run(worker_id, task, number)
         worker = self.worker_by_id.get(worker_id)
         if run is not None and not run.running_since_ms and worker is not None:
             self.request_sync(worker)
@@ -117,7 +118,7 @@
                 continue
             if not self._adopt(worker, report, now_ms):
                 worker.stray_by_task[key] = report
-                self.act(
+                self.add_action(
                     StopRun(
                         worker.worker.worker_id,
                         worker.fence,
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -51,7 +51,7 @@
             if worker.synced:
                 self._repeat_stops(worker, now_ms)
                 self._keep_latency(worker, now_ms)
-        for progress in list(self.state.open_by_id.values()):
+        for progress in list(self.state.open_job_by_id.values()):
             for step in progress.iter_steps():
                 if step.runs_by_index:
                     self._watch_step(step, now_ms)
@@ -65,7 +65,7 @@
                 self.state.send_stop(run)
         for key, report in worker.stray_by_task.items():
             if self._is_stop_due(key, now_ms):
-                self.state.act(
+                self.state.add_action(
                     StopRun(
                         worker.worker.worker_id,
                         worker.fence,
@@ -241,7 +241,7 @@
                 continue
             run.change_share(PACE_STEPS[position], now_ms)
             self._paced_ms[worker.worker.worker_id] = now_ms
-            self.state.act(
+            self.state.add_action(
                 PaceRun(
                     worker.worker.worker_id,
                     worker.fence,
--- a/marjoramgrade/decisions/stepbook.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -1,7 +1,7 @@
 """Jobs of steps, the workers that run them, and the actions that are due.
 
-Actions go out through `take_actions`, and the jobs whose lasting part changed through
-`take_changed`.
+Actions go out through `pop_actions`, and the jobs whose lasting part changed through
+`pop_changed_jobs`.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 @attrs.define(eq=False)
-class StepBook:
+class StepTracker:
     """Jobs, workers, teams and the actions that are due.
 
     Attributes:
@@ -53,7 +53,7 @@
     config: StepConfig = attrs.field(factory=StepConfig)
     evacuated_zones: frozenset[str] = frozenset()
     job_by_id: dict[str, JobProgress] = attrs.field(factory=dict)
-    open_by_id: dict[str, JobProgress] = attrs.field(factory=dict)
+    open_job_by_id: dict[str, JobProgress] = attrs.field(factory=dict)
     worker_by_id: dict[str, WorkerState] = attrs.field(factory=dict)
     usage: TeamUsage = attrs.field(factory=TeamUsage)
     durations: Durations = attrs.field(factory=Durations)
@@ -65,17 +65,17 @@
         """The lowest fence of this leadership."""
         return self.epoch * FENCES_PER_EPOCH
 
-    def take_actions(self) -> list[StepAction]:
+    def pop_actions(self) -> list[StepAction]:
         """Return what must be done since the last call."""
         actions, self._actions = self._actions, []
         return actions
 
-    def take_changed(self) -> list[JobProgress]:
+    def pop_changed_jobs(self) -> list[JobProgress]:
         """Return the jobs whose lasting part changed since the last call."""
         changed, self._changed = list(self._changed.values()), {}
         return changed
 
-    def act(self, action: StepAction) -> None:
+    def add_action(self, action: StepAction) -> None:
         """Ask for something to be done."""
         self._actions.append(action)
 
@@ -115,14 +115,14 @@
         self._keep(progress)
         return progress
 
-    def drop_job(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Forget a job and the runs that were never sent."""
         progress = self.job_by_id.pop(job_id, None)
         if progress is not None:
             for step in progress.iter_steps():
                 for run in list(step.iter_runs()):
                     self._detach(run)
-        self.open_by_id.pop(job_id, None)
+        self.open_job_by_id.pop(job_id, None)
         self._changed.pop(job_id, None)
 
     def cancel_job(self, progress: JobProgress, unix_ms: int) -> None:
@@ -150,7 +150,7 @@
         """Return how many jobs of a queue have been taken and not started."""
         return sum(
             1
-            for progress in self.open_by_id.values()
+            for progress in self.open_job_by_id.values()
             if progress.queue.name == queue
             and not progress.started
             and not progress.job.schedule.times
@@ -159,13 +159,13 @@
     def _keep(self, progress: JobProgress) -> None:
         self.job_by_id[progress.job.job_id] = progress
         if not progress.state.is_final:
-            self.open_by_id[progress.job.job_id] = progress
+            self.open_job_by_id[progress.job.job_id] = progress
 
     def _settle_job(self, progress: JobProgress) -> None:
         if progress.state.is_final and not any(
             step.runs_by_index for step in progress.iter_steps()
         ):
-            self.open_by_id.pop(progress.job.job_id, None)
+            self.open_job_by_id.pop(progress.job.job_id, None)
 
     # Workers
 
@@ -187,7 +187,7 @@
         """Start to use a worker; it gets work once it is listed in sync."""
         state = WorkerState(worker, fence=self.first_fence)
         self.worker_by_id[worker.worker_id] = state
-        self.act(SyncWorker(worker.worker_id, state.fence))
+        self.add_action(SyncWorker(worker.worker_id, state.fence))
         return state
 
     def remove_worker(self, worker_id: str) -> None:
@@ -198,7 +198,7 @@
         """Raise the fence of a worker, so that unanswered orders have no effect."""
         worker.fence += 1
         worker.synced = False
-        self.act(SyncWorker(worker.worker.worker_id, worker.fence))
+        self.add_action(SyncWorker(worker.worker.worker_id, worker.fence))
 
     def _reborn(self, worker: WorkerState) -> None:
         """Note that a worker started again.
@@ -233,7 +233,7 @@
         # The store must know the place before the worker does, so that a successor
         # knows which tasks a worker that it cannot reach may run.
         self._changed[task.job_id] = step.job
-        self.act(
+        self.add_action(
             StartRun(
                 worker_id,
                 worker.fence,
@@ -271,7 +271,7 @@
         )
         return valid is not None and valid.text == ticket
 
-    def next_run(self, step: StepProgress, index: int) -> int:
+    def next_run_number(self, step: StepProgress, index: int) -> int:
         """Return a run number that no earlier leader can have used."""
         first = (self.epoch - 1) * RUNS_PER_EPOCH
         indexes = range(step.step.count) if step.step.gang else (index,)
@@ -297,7 +297,7 @@
         """
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None and worker.synced:
-            self.act(
+            self.add_action(
                 StopRun(
                     run.worker_id, worker.fence, run.task, run.number, run.stop_reason
                 )
@@ -320,11 +320,11 @@
         if worker is not None and (run.task, run.number) in worker.run_by_task:
             worker.remove(run)
             self.usage.remove(run.step.job.job.team, run.step.step.resources)
-        run.step.drop_run(run)
+        run.step.remove_run(run)
         if not run.step.runs_by_index:
             run.step.rack_in_use = ""
         self._settle_job(run.step.job)
 
-    def _run(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
+    def _find_run(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
         worker = self.worker_by_id.get(worker_id)
         return None if worker is None else worker.run_by_task.get((task, number))
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -80,7 +80,7 @@
 
     def drain(self) -> list[StepAction]:
         """Return what is to be done."""
-        actions = self.state.take_actions()
+        actions = self.state.pop_actions()
         self.sent.extend(actions)
         return actions
 
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -4,10 +4,10 @@
 
 import attrs
 
-from marjoramgrade.decisions.stepbook import RUNS_PER_EPOCH
 from marjoramgrade.decisions.steporders import SyncWorker
 from marjoramgrade.decisions.stepprogress import JobRecord, TaskPhase
 from marjoramgrade.decisions.stepstate import StepState
+from marjoramgrade.decisions.steptracker import RUNS_PER_EPOCH
 from marjoramgrade.resources import NOTHING
 from marjoramgrade.stepjobs import Ending, RunEnd, RunReport, Step, StepJobState
 from marjoramgrade.steprows import parse_row, serialize_row
@@ -48,7 +48,7 @@
     progress = cell.add(job("a"))
     progress.stored = False
     assert len(starts(cell.plan())) == 1
-    cell.state.drop_job("a")
+    cell.state.remove_job("a")
     assert cell.worker("w").used == NOTHING
     assert cell.state.usage.used_by_team["red"] == NOTHING
 
@@ -123,7 +123,7 @@
     placed = cell.add(job("a"))
     waiting = cell.add(job("b", Step(2, cores(1))))
     cell.plan()
-    records = {p.job.job_id: p.record() for p in cell.state.take_changed()}
+    records = {p.job.job_id: p.record() for p in cell.state.pop_changed_jobs()}
 
     state = StepState(2, cell.state.config)
     for worker_id in ("w", "v"):
@@ -184,7 +184,7 @@
     assert cell.worker("w").used == cores(1)
     cell.end(start, 1, Ending.STOPPED)
     assert cell.worker("w").used == NOTHING
-    assert not cell.state.open_by_id
+    assert not cell.state.open_job_by_id
 
 
 def test_new_life_of_a_worker_has_none_of_the_old_runs():
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -187,8 +187,8 @@
 
     def carry_out(self):
         """Store what changed, then do what the state asks for."""
-        actions = self.state.take_actions()
-        for progress in self.state.take_changed():
+        actions = self.state.pop_actions()
+        for progress in self.state.pop_changed_jobs():
             self.records[progress.job.job_id] = progress.record()
         for action in actions:
             fake = self.workers[action.worker_id]
