--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -13,7 +13,7 @@
 from marjoramgrade.clock import Clock
 from marjoramgrade.controllers.commits import CommitController, SaveRows
 from marjoramgrade.controllers.workerlink import ConnectWorker, WorkerLink
-from marjoramgrade.decisions.steporders import (
+from marjoramgrade.decisions.stepactions import (
     AskAdvice,
     PaceRun,
     StartRun,
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -9,9 +9,9 @@
 import attrs
 
 from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.stepactions import AskAdvice
 from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.steporder import STEP_ORDERS, StepOrder, Waiting
-from marjoramgrade.decisions.steporders import AskAdvice
 from marjoramgrade.decisions.stepplacement import choose_worker
 from marjoramgrade.decisions.steppreemption import Preemption
 from marjoramgrade.decisions.stepprogress import JobProgress, StepProgress
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-from marjoramgrade.decisions.stepfleet import WorkerState
-from marjoramgrade.decisions.steporders import (
+from marjoramgrade.decisions.stepactions import (
     StopRun,
 )
+from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import SLOW_FACTOR, StepProgress, TaskPhase
 from marjoramgrade.decisions.steprun import Run, RunPhase
 from marjoramgrade.decisions.steptracker import StepTracker
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from marjoramgrade.decisions.stepactions import PaceRun, StopRun
 from marjoramgrade.decisions.stepfleet import WorkerState
-from marjoramgrade.decisions.steporders import PaceRun, StopRun
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import SLOW_FACTOR, StepProgress
 from marjoramgrade.decisions.steprun import Run, RunPhase
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -11,13 +11,13 @@
 import attrs
 
 from marjoramgrade.decisions.durations import Durations
-from marjoramgrade.decisions.stepfleet import WorkerState
-from marjoramgrade.decisions.steporders import (
+from marjoramgrade.decisions.stepactions import (
     StartRun,
     StepAction,
     StopRun,
     SyncWorker,
 )
+from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import JobProgress, JobRecord, StepProgress
 from marjoramgrade.decisions.steprun import Run, RunPhase
 from marjoramgrade.decisions.teamusage import TeamUsage
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -5,8 +5,8 @@
 import attrs
 
 from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.stepactions import StartRun, StepAction, StopRun
 from marjoramgrade.decisions.stepfleet import WorkerState
-from marjoramgrade.decisions.steporders import StartRun, StepAction, StopRun
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import JobProgress
 from marjoramgrade.decisions.stepstate import StepState
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -4,9 +4,9 @@
 
 import attrs
 
+from marjoramgrade.decisions.stepactions import AskAdvice
 from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.steporder import STEP_ORDERS
-from marjoramgrade.decisions.steporders import AskAdvice
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.tickets import Ticket
 from marjoramgrade.resources import Resources
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.steporders import SyncWorker
+from marjoramgrade.decisions.stepactions import SyncWorker
 from marjoramgrade.decisions.stepprogress import JobRecord, TaskPhase
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.steptracker import RUNS_PER_EPOCH
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -14,7 +14,7 @@
 )
 
 from marjoramgrade.decisions.advisorlines import AdvisorLines
-from marjoramgrade.decisions.steporders import StartRun, StopRun, SyncWorker
+from marjoramgrade.decisions.stepactions import StartRun, StopRun, SyncWorker
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import JobRecord
 from marjoramgrade.decisions.stepstate import StepState
--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marjoramgrade.decisions.steporders import PaceRun
+from marjoramgrade.decisions.stepactions import PaceRun
 from marjoramgrade.decisions.stepsupervision import Supervisor
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import Ending, Step
