--- a/marjoramgrade/decisions/stepplacement.py
+++ b/marjoramgrade/decisions/stepplacement.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable
 
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import StepProgress
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.registry import Registry
 
 StepPlacement = Callable[[StepProgress, WorkerState], tuple[float, ...]]
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -10,12 +10,12 @@
 
 from marjoramgrade.decisions.advisorlines import AdvisorLines
 from marjoramgrade.decisions.stepactions import AskAdvice
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.steporder import STEP_ORDERS, StepOrder, Waiting
 from marjoramgrade.decisions.stepplacement import choose_worker
 from marjoramgrade.decisions.steppreemption import Preemption
 from marjoramgrade.decisions.stepprogress import JobProgress, StepProgress
 from marjoramgrade.decisions.stepstate import StepState
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.tickets import Ticket, TicketBook
 
 # Workers that one call for advice names at most; each costs time.
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import StepProgress
 from marjoramgrade.decisions.steprun import Run, RunPhase
 from marjoramgrade.decisions.stepstate import StepState
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.teamusage import is_within
 from marjoramgrade.resources import NOTHING, Resources
 
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -13,10 +13,10 @@
 from marjoramgrade.decisions.stepactions import (
     StopRun,
 )
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import SLOW_FACTOR, StepProgress, TaskPhase
 from marjoramgrade.decisions.steprun import Run, RunPhase
 from marjoramgrade.decisions.steptracker import StepTracker
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.stepjobs import (
     Ending,
     RunEnd,
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -5,11 +5,11 @@
 import attrs
 
 from marjoramgrade.decisions.stepactions import PaceRun, StopRun
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import SLOW_FACTOR, StepProgress
 from marjoramgrade.decisions.steprun import Run, RunPhase
 from marjoramgrade.decisions.stepstate import StepState
+from marjoramgrade.decisions.stepworkers import WorkerState
 
 # A stop that brought no end within this time is sent again.
 STOP_RETRY_MS = 600
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -17,9 +17,9 @@
     StopRun,
     SyncWorker,
 )
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepprogress import JobProgress, JobRecord, StepProgress
 from marjoramgrade.decisions.steprun import Run, RunPhase
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.teamusage import TeamUsage
 from marjoramgrade.stepconfig import Queue, StepConfig
 from marjoramgrade.stepjobs import (
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -6,10 +6,10 @@
 
 from marjoramgrade.decisions.advisorlines import AdvisorLines
 from marjoramgrade.decisions.stepactions import StartRun, StepAction, StopRun
-from marjoramgrade.decisions.stepfleet import WorkerState
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import JobProgress
 from marjoramgrade.decisions.stepstate import StepState
+from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepconfig import AdvicePolicy, Queue, StepConfig, TeamPolicy
 from marjoramgrade.stepjobs import (
--- a/tests/test_stepfleet.py
+++ b/tests/test_stepworkers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marjoramgrade.decisions.stepfleet import (
+from marjoramgrade.decisions.stepworkers import (
     FAILURES_TO_SUSPECT,
     WorkerState,
     WorkerSuspicion,
