--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -237,14 +237,16 @@
                 worker=message.worker_id,
                 fence=message.fence,
                 runs=len(worker.run_by_task),
-                strays=len(worker.stray_by_task),
+                strays=len(worker.orphan_by_task),
             )
         if message.listing.ended:
             self._schedule_plan(lead)
             self._save_changed(
                 lead,
                 EndsCovered(
-                    message.worker_id, message.listing.born_unix_ms, worker.last_end
+                    message.worker_id,
+                    message.listing.born_unix_ms,
+                    worker.last_end_number,
                 ),
             )
         self._perform(lead)
@@ -258,7 +260,7 @@
             return
         worker = lead.state.worker_by_id.get(message.worker_id)
         if worker is not None:
-            worker.is_unanswered = True
+            worker.has_unanswered_call = True
         self._alert(lead)
 
     def _alert(self, lead: Lead) -> None:
@@ -276,8 +278,8 @@
         worker = lead and lead.state.worker_by_id.get(message.worker_id)
         if lead is None or not worker:
             return
-        if not worker.silent_since_ms:
-            worker.silent_since_ms = self._clock.now_ms()
+        if not worker.unresponsive_since_ms:
+            worker.unresponsive_since_ms = self._clock.now_ms()
             if worker.synced:
                 lead.state.request_sync(worker)
         if message.expired:
--- a/marjoramgrade/decisions/stepplacement.py
+++ b/marjoramgrade/decisions/stepplacement.py
@@ -16,7 +16,7 @@
 def pack(step: StepProgress, worker: WorkerState) -> tuple[float, ...]:
     """Prefer the fullest worker where the task displaces no spare work."""
     need = step.step.resources.cpu_millis
-    left = worker.free_cpu - need
+    left = worker.free_cpu_millis - need
     return (_is_far(step, worker), 1.0 if left < 0 else 0.0, abs(left))
 
 
@@ -26,7 +26,11 @@
 
     Spare work slows the tail of latency-bound tasks beside it.
     """
-    return (_is_far(step, worker), float(count_latency_bound(worker)), -worker.free_cpu)
+    return (
+        _is_far(step, worker),
+        float(count_latency_bound(worker)),
+        -worker.free_cpu_millis,
+    )
 
 
 @STEP_PLACEMENTS.register("latency")
@@ -38,7 +42,7 @@
         _is_far(step, worker),
         float(bound),
         worker.spare_used.cpu_millis / capacity,
-        -worker.free_cpu,
+        -worker.free_cpu_millis,
     )
 
 
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -146,7 +146,7 @@
         fitting = [
             worker
             for worker in permitted
-            if worker.has_room(need, uses_spare=step.step.uses_spare)
+            if worker.has_capacity(need, uses_spare=step.step.uses_spare)
             and worker.worker.worker_id not in taken
             and (not most or step.count_on(worker.worker.worker_id) < most)
             and worker.suspicion.allows(now_ms, len(worker.run_by_task))
@@ -169,7 +169,7 @@
     def has_team_room(self, step: StepProgress, tasks: int = 1) -> bool:
         """Whether the team's limit leaves room for more tasks of a step."""
         need = step.step.resources.scaled(tasks, 1)
-        return self.state.usage.has_room(
+        return self.state.usage.has_capacity(
             step.job.job.team, need, self.state.config.team_by_name
         )
 
@@ -256,7 +256,7 @@
             copy = attrs.evolve(worker)
             while len(rooms) < step.step.count:
                 taken = sum(1 for room in rooms if room is worker)
-                if taken >= most or not copy.has_room(need, uses_spare=spare):
+                if taken >= most or not copy.has_capacity(need, uses_spare=spare):
                     break
                 if spare:
                     copy.spare_used = copy.spare_used + need
@@ -292,9 +292,9 @@
             if not book.ticket_for(
                 worker.worker.worker_id, worker.worker.born_unix_ms, now_ms
             )
-            and worker.has_room(need, uses_spare=spare)
+            and worker.has_capacity(need, uses_spare=spare)
         ]
-        without.sort(key=lambda worker: -worker.free_cpu)
+        without.sort(key=lambda worker: -worker.free_cpu_millis)
         asked = book.worth_asking(w.worker.worker_id for w in without)[:MAX_ADVISED]
         if not asked:
             return
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -99,7 +99,7 @@
         chosen: list[Run] = []
         stopping = [run for run in runs if run.phase is RunPhase.STOPPING]
         for run in (*stopping, *self._victims(step, runs, now_ms)):
-            if free.has_room(step.step.resources, uses_spare=step.step.uses_spare):
+            if free.has_capacity(step.step.resources, uses_spare=step.step.uses_spare):
                 return chosen
             if run.step.step.uses_spare:
                 free.spare_used = free.spare_used - run.step.step.resources
@@ -107,7 +107,7 @@
                 free.used = free.used - run.step.step.resources
             if run.phase is not RunPhase.STOPPING:
                 chosen.append(run)
-        fits = free.has_room(step.step.resources, uses_spare=step.step.uses_spare)
+        fits = free.has_capacity(step.step.resources, uses_spare=step.step.uses_spare)
         return chosen if fits else None
 
     def _victims(
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -79,15 +79,15 @@
         if listing.born_unix_ms < worker.worker.born_unix_ms:
             return
         if listing.born_unix_ms != worker.worker.born_unix_ms:
-            self._reborn(worker)
+            self._mark_restarted(worker)
             worker.worker = attrs.evolve(
                 worker.worker, born_unix_ms=listing.born_unix_ms
             )
-        worker.silent_since_ms = 0
-        worker.is_unanswered = False
+        worker.unresponsive_since_ms = 0
+        worker.has_unanswered_call = False
         for end in listing.ended:
-            if end.number > worker.last_end:
-                worker.last_end = end.number
+            if end.number > worker.last_end_number:
+                worker.last_end_number = end.number
                 self._ended(worker, end, now_ms, unix_ms)
         reported = set()
         for report in listing.running:
@@ -111,13 +111,13 @@
                 self.lose_run(run)
             elif run.phase is RunPhase.STOPPING and run.running_since_ms:
                 self.send_stop(run)
-        worker.stray_by_task = {}
+        worker.orphan_by_task = {}
         for report in running:
             key = (report.task, report.run)
             if key in worker.run_by_task:
                 continue
             if not self._adopt(worker, report, now_ms):
-                worker.stray_by_task[key] = report
+                worker.orphan_by_task[key] = report
                 self.add_action(
                     StopRun(
                         worker.worker.worker_id,
@@ -186,7 +186,7 @@
     def _ended(
         self, worker: WorkerState, end: RunEnd, now_ms: int, unix_ms: int
     ) -> None:
-        worker.stray_by_task.pop((end.task, end.run), None)
+        worker.orphan_by_task.pop((end.task, end.run), None)
         run = worker.run_by_task.get((end.task, end.run))
         progress = self.job_by_id.get(end.task.job_id)
         step = progress.step_of(end.task) if progress is not None else None
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -63,7 +63,7 @@
             is_stopping = run.phase is RunPhase.STOPPING and run.running_since_ms
             if is_stopping and self._is_stop_due(key, now_ms):
                 self.state.send_stop(run)
-        for key, report in worker.stray_by_task.items():
+        for key, report in worker.orphan_by_task.items():
             if self._is_stop_due(key, now_ms):
                 self.state.add_action(
                     StopRun(
@@ -87,7 +87,7 @@
         present = {
             key
             for worker in self.state.worker_by_id.values()
-            for key in (*worker.run_by_task, *worker.stray_by_task)
+            for key in (*worker.run_by_task, *worker.orphan_by_task)
         }
         for key in [key for key in self._stop_sent_ms if key not in present]:
             del self._stop_sent_ms[key]
@@ -120,7 +120,8 @@
         """Start a copy, where that is allowed, of a task on a silent worker."""
         step, index = run.step, run.task.index
         is_silent = (
-            worker.silent_since_ms and now_ms - worker.silent_since_ms >= SILENT_MS
+            worker.unresponsive_since_ms
+            and now_ms - worker.unresponsive_since_ms >= SILENT_MS
         )
         if not is_silent or not step.step.speculative:
             return
@@ -154,7 +155,7 @@
     def _watch_progress(
         self, run: Run, worker: WorkerState, usual_ms: float | None, now_ms: int
     ) -> None:
-        is_starved = run.step.step.uses_spare and worker.free_cpu <= 0
+        is_starved = run.step.step.uses_spare and worker.free_cpu_millis <= 0
         if run.share < 100 or is_starved:
             # It is slow because it was made to be.
             return
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -180,7 +180,7 @@
                 self.add_worker(worker)
             elif worker.born_unix_ms >= state.worker.born_unix_ms:
                 if worker.born_unix_ms != state.worker.born_unix_ms:
-                    self._reborn(state)
+                    self._mark_restarted(state)
                 state.worker = worker
 
     def add_worker(self, worker: StepWorker) -> WorkerState:
@@ -200,15 +200,15 @@
         worker.synced = False
         self.add_action(SyncWorker(worker.worker.worker_id, worker.fence))
 
-    def _reborn(self, worker: WorkerState) -> None:
+    def _mark_restarted(self, worker: WorkerState) -> None:
         """Note that a worker started again.
 
         It has seen no fence yet, so an order to its earlier life may still come late
         and take effect. What was placed there is settled by the next listing under a
         higher fence, as after any other doubt.
         """
-        worker.stray_by_task.clear()
-        worker.last_end = 0
+        worker.orphan_by_task.clear()
+        worker.last_end_number = 0
         if worker.synced:
             self.request_sync(worker)
 
@@ -216,7 +216,7 @@
         """Note that all leases on a silent worker have surely run out."""
         for run in list(worker.run_by_task.values()):
             self.lose_run(run)
-        worker.stray_by_task.clear()
+        worker.orphan_by_task.clear()
 
     # Runs
 
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -88,11 +88,11 @@
         run_by_task: The runs that it has or may have.
         used: What tasks take that count against the capacity.
         spare_used: What tasks take that use only spare processor time.
-        stray_by_task: Runs that are present and belong to no task that waits for
+        orphan_by_task: Runs that are present and belong to no task that waits for
             them; they are being stopped.
-        is_unanswered: Whether it left the last listing without an answer.
-        last_end: Highest number of an end that was taken over.
-        silent_since_ms: Since when it gives no answer, or 0.
+        has_unanswered_call: Whether it left the last listing without an answer.
+        last_end_number: Highest number of an end that was taken over.
+        unresponsive_since_ms: Since when it gives no answer, or 0.
     """
 
     worker: StepWorker
@@ -101,31 +101,31 @@
     fence: int = 0
     suspicion: WorkerSuspicion = attrs.field(factory=WorkerSuspicion)
     run_by_task: dict[tuple[TaskRef, int], Run] = attrs.field(factory=dict)
-    stray_by_task: dict[tuple[TaskRef, int], RunReport] = attrs.field(factory=dict)
-    is_unanswered: bool = False
+    orphan_by_task: dict[tuple[TaskRef, int], RunReport] = attrs.field(factory=dict)
+    has_unanswered_call: bool = False
     used: Resources = NOTHING
     spare_used: Resources = NOTHING
-    last_end: int = 0
-    silent_since_ms: int = 0
+    last_end_number: int = 0
+    unresponsive_since_ms: int = 0
 
     def accepts_work(self, now_ms: int) -> bool:
         """Whether a start may be sent at all."""
         return (
             self.listed
             and self.synced
-            and not self.is_unanswered
-            and not self.stray_by_task
+            and not self.has_unanswered_call
+            and not self.orphan_by_task
             and not self.worker.draining
             and self.suspicion.allows(now_ms, len(self.run_by_task))
         )
 
     @property
-    def free_cpu(self) -> int:
+    def free_cpu_millis(self) -> int:
         """Thousandths of a processor that no task has been given."""
         capacity = self.worker.capacity.cpu_millis
         return capacity - self.used.cpu_millis - self.spare_used.cpu_millis
 
-    def has_room(self, need: Resources, *, uses_spare: bool) -> bool:
+    def has_capacity(self, need: Resources, *, uses_spare: bool) -> bool:
         """Whether a task fits beside what the worker has.
 
         Tasks that use spare processor time count against memory and accelerators,
@@ -138,7 +138,7 @@
         if memory > capacity.memory_mib or accelerators > capacity.accelerators:
             return False
         if uses_spare:
-            return need.cpu_millis <= self.free_cpu
+            return need.cpu_millis <= self.free_cpu_millis
         return used.cpu_millis + need.cpu_millis <= capacity.cpu_millis
 
     def add(self, run: Run) -> None:
--- a/marjoramgrade/decisions/teamusage.py
+++ b/marjoramgrade/decisions/teamusage.py
@@ -32,7 +32,7 @@
         """Stop counting a run."""
         self.used_by_team[team] = self.used_by_team.get(team, NOTHING) - amount
 
-    def has_room(
+    def has_capacity(
         self, team: str, amount: Resources, policies: Mapping[str, TeamPolicy]
     ) -> bool:
         """Whether a team stays within its limit with this much more."""
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -318,7 +318,7 @@
     # Guards against placing more work in a zone that is being cut off: two calls had to
     # go unanswered before a worker counted as silent.
     cell = Cell.make(worker("w", 8))
-    cell.worker("w").is_unanswered = True
+    cell.worker("w").has_unanswered_call = True
     cell.add(job("a"))
     assert starts(cell.plan()) == []
     cell.listing("w")
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -207,7 +207,7 @@
     cell.listing("w", born_ms=5_000)
     end = RunEnd(1, ref("a"), 1, Ending.DONE, "")
     cell.listing("w", ended=(end,), born_ms=BORN)
-    assert cell.worker("w").last_end == 0
+    assert cell.worker("w").last_end_number == 0
 
 
 def test_vanished_run_is_lost_only_after_a_later_listing():
--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -142,7 +142,7 @@
     (start,) = starts(cell.plan())
     cell.confirm(start)
     silent = cell.worker(start.worker_id)
-    silent.silent_since_ms = cell.now_ms
+    silent.unresponsive_since_ms = cell.now_ms
     cell.state.request_sync(silent)
     cell.drain()
     cell.now_ms += 300
@@ -157,7 +157,7 @@
     (start,) = starts(cell.plan())
     cell.confirm(start)
     silent = cell.worker(start.worker_id)
-    silent.silent_since_ms = cell.now_ms
+    silent.unresponsive_since_ms = cell.now_ms
     cell.state.request_sync(silent)
     cell.drain()
     cell.now_ms += 5_000
--- a/tests/test_stepworkers.py
+++ b/tests/test_stepworkers.py
@@ -35,12 +35,12 @@
     # Guards against tasks that wait for work which takes only what is left.
     state = WorkerState(worker("w", 4))
     state.spare_used = cores(4)
-    assert state.has_room(cores(4), uses_spare=False)
-    assert not state.has_room(cores(1), uses_spare=True)
+    assert state.has_capacity(cores(4), uses_spare=False)
+    assert not state.has_capacity(cores(1), uses_spare=True)
 
 
 def test_memory_of_spare_work_counts():
     # Guards against overcommitting memory, which spare work does not give back.
     state = WorkerState(worker("w", 4))
     state.spare_used = Resources(memory_mib=9_950)
-    assert not state.has_room(cores(1, 100), uses_spare=False)
+    assert not state.has_capacity(cores(1, 100), uses_spare=False)
--- a/tests/test_teamusage.py
+++ b/tests/test_teamusage.py
@@ -12,9 +12,9 @@
     # Guards against a team without a limit that may run nothing.
     usage = TeamUsage()
     policies = {"red": TeamPolicy("red", limit=Resources(cpu_millis=2_000))}
-    assert usage.has_room("red", cores(2, 10**6), policies)
-    assert not usage.has_room("red", cores(2.1), policies)
-    assert usage.has_room("unknown", cores(100), policies)
+    assert usage.has_capacity("red", cores(2, 10**6), policies)
+    assert not usage.has_capacity("red", cores(2.1), policies)
+    assert usage.has_capacity("unknown", cores(100), policies)
 
 
 def test_jobs_beyond_the_weight_are_told_apart():
