--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -295,11 +295,11 @@
             return
         state = lead.state
         if message.outcome is StartOutcome.STARTED:
-            state.start_confirmed(
+            state.record_start_confirmed(
                 message.worker_id, message.task, message.run, self._clock.now_ms()
             )
         elif message.outcome is StartOutcome.UNKNOWN:
-            state.start_unknown(message.worker_id, message.task, message.run)
+            state.record_start_unknown(message.worker_id, message.task, message.run)
             self._alert(lead)
         else:
             self._start_refused(lead, message)
@@ -321,6 +321,6 @@
             run.step.tickets.reject(message.worker_id)
         elif worker is not None and worker.synced:
             # Whatever the worker has is not what this leader believes.
-            worker.suspicion.distrust(self._clock.now_ms())
+            worker.suspicion.mark_suspect(self._clock.now_ms())
             lead.state.request_sync(worker)
         self._schedule_plan(lead)
--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -131,7 +131,7 @@
         """Return the newest checkpoint that a run of the task may resume from."""
         return self.checkpoint_by_index.get(self.shared_index(index), "")
 
-    def keep_checkpoint(self, index: int, checkpoint: str) -> None:
+    def record_checkpoint(self, index: int, checkpoint: str) -> None:
         """Remember a checkpoint unless it is empty."""
         if checkpoint and self.step.checkpoints:
             self.checkpoint_by_index[self.shared_index(index)] = checkpoint
--- a/marjoramgrade/decisions/steprun.py
+++ b/marjoramgrade/decisions/steprun.py
@@ -47,7 +47,7 @@
         figure: See `RunReport.figure`.
         share: Percent of its speed that it was paced to.
         above_target_ms: Since when its latency is above its target; 0 if it is not.
-        below_full_ms: Since when a long-running task is not at work; 0 if it is.
+        idle_since_ms: Since when a long-running task is not at work; 0 if it is.
         stop_reason: Why it is being stopped, or empty.
     """
 
@@ -68,14 +68,14 @@
     figure: int = 0
     share: int = 100
     above_target_ms: int = 0
-    below_full_ms: int = 0
+    idle_since_ms: int = 0
     stop_reason: str = ""
 
-    def begin(self, now_ms: int) -> None:
+    def mark_started(self, now_ms: int) -> None:
         """Note that the worker has confirmed the start."""
         self.running_since_ms = self.progressed_ms = self.measured_ms = now_ms
 
-    def progress_to(self, percent: int, now_ms: int) -> None:
+    def record_progress(self, percent: int, now_ms: int) -> None:
         """Take over what the worker says of the progress."""
         if percent == self.percent:
             return
@@ -106,7 +106,7 @@
             return None
         return (self.progressed_ms - self.running_since_ms) * 100 / self.percent
 
-    def predicted_left_ms(self, now_ms: int) -> float | None:
+    def predicted_remaining_ms(self, now_ms: int) -> float | None:
         """Return how long the run still takes by that, None if unknown."""
         total_ms = self.predicted_total_ms()
         if total_ms is None:
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -34,7 +34,7 @@
 class StepState(StepTracker):
     """Everything the leader knows of jobs of steps and of the workers."""
 
-    def start_confirmed(
+    def record_start_confirmed(
         self, worker_id: str, task: TaskRef, number: int, now_ms: int
     ) -> None:
         """Note that a worker has begun a run."""
@@ -50,7 +50,7 @@
         self._detach(run)
         return run
 
-    def start_unknown(self, worker_id: str, task: TaskRef, number: int) -> None:
+    def record_start_unknown(self, worker_id: str, task: TaskRef, number: int) -> None:
         """Note that nobody knows whether a worker begins a run."""
         run = self._find_run(worker_id, task, number)
         worker = self.worker_by_id.get(worker_id)
@@ -108,7 +108,7 @@
         present = {(report.task, report.run) for report in running}
         for key, run in list(worker.run_by_task.items()):
             if key not in present:
-                self.lose_run(run)
+                self.mark_run_lost(run)
             elif run.phase is RunPhase.STOPPING and run.running_since_ms:
                 self.send_stop(run)
         worker.orphan_by_task = {}
@@ -160,12 +160,12 @@
             if not confirmed_ms or key in reported:
                 continue
             if confirmed_ms + VANISHED_MARGIN_MS < asked_ms:
-                self.lose_run(run)
+                self.mark_run_lost(run)
 
     def _begin(self, run: Run, now_ms: int) -> None:
         if run.running_since_ms:
             return
-        run.begin(now_ms)
+        run.mark_started(now_ms)
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
         else:
@@ -177,10 +177,10 @@
 
     def _progressed(self, run: Run, report: RunReport, now_ms: int) -> None:
         self._begin(run, now_ms)
-        run.progress_to(report.percent, now_ms)
+        run.record_progress(report.percent, now_ms)
         if report.checkpoint and report.checkpoint != run.checkpoint:
             run.checkpoint, run.checkpointed_ms = report.checkpoint, now_ms
-            run.step.keep_checkpoint(run.task.index, report.checkpoint)
+            run.step.record_checkpoint(run.task.index, report.checkpoint)
         run.figure = report.figure
 
     def _ended(
@@ -192,7 +192,7 @@
         step = progress.step_of(end.task) if progress is not None else None
         if step is None or progress is None:
             return
-        step.keep_checkpoint(end.task.index, end.checkpoint)
+        step.record_checkpoint(end.task.index, end.checkpoint)
         if run is not None:
             self._learn(worker, run, end.ending, now_ms)
             self._detach(run)
@@ -215,9 +215,9 @@
         if ending is Ending.DONE:
             duration_ms = now_ms - run.running_since_ms if run.running_since_ms else 0
             if duration_ms >= SLOW_FACTOR * self._expected_ms(run.step):
-                worker.suspicion.dragged(run.task.job_id, now_ms)
+                worker.suspicion.record_straggler(run.task.job_id, now_ms)
             else:
-                worker.suspicion.succeeded()
+                worker.suspicion.record_success()
             if duration_ms and not run.step.checkpoint_of(run.task.index):
                 run.step.done_durations.append(duration_ms)
                 self.durations.add(run.step.job.queue.name, duration_ms)
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -145,11 +145,11 @@
 
     def _watch_long_running(self, run: Run, worker: WorkerState, now_ms: int) -> None:
         if run.percent >= 100:
-            run.below_full_ms = 0
+            run.idle_since_ms = 0
             return
-        if not run.below_full_ms:
-            run.below_full_ms = now_ms
-        elif now_ms - run.below_full_ms >= IDLE_MS:
+        if not run.idle_since_ms:
+            run.idle_since_ms = now_ms
+        elif now_ms - run.idle_since_ms >= IDLE_MS:
             self._move(run, worker, "not_at_work", now_ms)
 
     def _watch_progress(
@@ -165,7 +165,7 @@
         if usual_ms is None and worker.suspicion.probing:
             # Too few tasks of the step tell; that the worker is suspect tells more.
             usual_ms = self.state.durations.average_ms(run.step.job.queue.name)
-        total_ms, left_ms = run.predicted_total_ms(), run.predicted_left_ms(now_ms)
+        total_ms, left_ms = run.predicted_total_ms(), run.predicted_remaining_ms(now_ms)
         if total_ms is None or left_ms is None or usual_ms is None:
             return
         if total_ms < SLOW_FACTOR * usual_ms or left_ms <= usual_ms:
@@ -198,7 +198,7 @@
         if not has_place:
             return
         bad.add(run.worker_id)
-        worker.suspicion.distrust(now_ms)
+        worker.suspicion.mark_suspect(now_ms)
         has_copy = len(step.runs_by_index.get(index, ())) > 1
         if step.step.speculative and (
             has_copy or self.planner.place_one(step, index, others, now_ms)
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -215,7 +215,7 @@
     def expire_worker(self, worker: WorkerState) -> None:
         """Note that all leases on a silent worker have surely run out."""
         for run in list(worker.run_by_task.values()):
-            self.lose_run(run)
+            self.mark_run_lost(run)
         worker.orphan_by_task.clear()
 
     # Runs
@@ -303,9 +303,9 @@
                 )
             )
 
-    def lose_run(self, run: Run) -> None:
+    def mark_run_lost(self, run: Run) -> None:
         """Note that a run is gone and told nothing; its task waits again."""
-        run.step.keep_checkpoint(run.task.index, run.checkpoint)
+        run.step.record_checkpoint(run.task.index, run.checkpoint)
         self._detach(run)
 
     def _attach(self, run: Run, worker: WorkerState) -> None:
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -12,7 +12,7 @@
 # twenty fails by itself, so three in a row on a good worker are rare.
 FAILURES_TO_SUSPECT = 3
 # The same for runs that stand still or are slow.
-DRAGS_TO_SUSPECT = 2
+STRAGGLERS_TO_SUSPECT = 2
 # Suspicion lasts this long at first and doubles with each probe that fails.
 SUSPICION_MS = 1_500
 MAX_SUSPICION_MS = 12_000
@@ -24,22 +24,22 @@
 
     Attributes:
         failed_jobs: Jobs of which a run failed since the last success.
-        dragged_jobs: Jobs of which a run stood still or was slow since then.
+        straggling_jobs: Jobs of which a run stood still or was slow since then.
         suspect_until_ms: No work before this time, or 0.
         suspicion_ms: How long the next suspicion lasts.
         probing: Whether a single task tries the worker out.
     """
 
     failed_jobs: set[str] = attrs.field(factory=set)
-    dragged_jobs: set[str] = attrs.field(factory=set)
+    straggling_jobs: set[str] = attrs.field(factory=set)
     suspect_until_ms: int = 0
     suspicion_ms: int = SUSPICION_MS
     probing: bool = False
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a run that was done."""
         self.failed_jobs.clear()
-        self.dragged_jobs.clear()
+        self.straggling_jobs.clear()
         self.suspect_until_ms = 0
         self.suspicion_ms = SUSPICION_MS
         self.probing = False
@@ -48,17 +48,17 @@
         """Note a run that failed; returns whether the worker became suspect."""
         self.failed_jobs.add(job_id)
         if self.probing or len(self.failed_jobs) >= FAILURES_TO_SUSPECT:
-            self.distrust(now_ms)
+            self.mark_suspect(now_ms)
             return True
         return False
 
-    def dragged(self, job_id: str, now_ms: int) -> None:
+    def record_straggler(self, job_id: str, now_ms: int) -> None:
         """Note a run that stood still or was slow."""
-        self.dragged_jobs.add(job_id)
-        if self.probing or len(self.dragged_jobs) >= DRAGS_TO_SUSPECT:
-            self.distrust(now_ms)
+        self.straggling_jobs.add(job_id)
+        if self.probing or len(self.straggling_jobs) >= STRAGGLERS_TO_SUSPECT:
+            self.mark_suspect(now_ms)
 
-    def distrust(self, now_ms: int) -> None:
+    def mark_suspect(self, now_ms: int) -> None:
         """Give the worker no work for a while, twice as long each time."""
         if now_ms < self.suspect_until_ms:
             return
@@ -66,7 +66,7 @@
         self.suspicion_ms = min(2 * self.suspicion_ms, MAX_SUSPICION_MS)
         self.probing = True
         self.failed_jobs.clear()
-        self.dragged_jobs.clear()
+        self.straggling_jobs.clear()
 
     def allows(self, now_ms: int, present_runs: int) -> bool:
         """Whether another task may start; one at a time while the worker is tried."""
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -112,7 +112,7 @@
     def confirm(self, *starts: StartRun) -> None:
         """Let workers confirm starts."""
         for start in starts:
-            self.state.start_confirmed(
+            self.state.record_start_confirmed(
                 start.worker_id, start.order.task, start.order.run, self.now_ms
             )
 
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -58,7 +58,7 @@
     cell = Cell.make(worker("w"), worker("v"))
     cell.add(job("a"))
     (start,) = starts(cell.plan())
-    cell.state.start_unknown(start.worker_id, start.order.task, start.order.run)
+    cell.state.record_start_unknown(start.worker_id, start.order.task, start.order.run)
     (sync,) = cell.drain()
     assert isinstance(sync, SyncWorker)
     assert sync.fence > start.fence
@@ -76,7 +76,7 @@
     cell = Cell.make(worker("w"))
     progress = cell.add(job("a"))
     (start,) = starts(cell.plan())
-    cell.state.start_unknown(start.worker_id, start.order.task, start.order.run)
+    cell.state.record_start_unknown(start.worker_id, start.order.task, start.order.run)
     cell.listing("w", running=(report(start),))
     assert starts(cell.plan()) == []
     cell.end(start, 1)
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -206,9 +206,9 @@
         cpu = self.jobs[order.task.job_id][0].steps[order.task.step].resources
         if self.lose:
             fake.delayed.append((order, action.fence, cpu.cpu_millis))
-            self.state.start_unknown(action.worker_id, order.task, order.run)
+            self.state.record_start_unknown(action.worker_id, order.task, order.run)
         elif fake.start(order, action.fence, cpu.cpu_millis):
-            self.state.start_confirmed(
+            self.state.record_start_confirmed(
                 action.worker_id, order.task, order.run, self.now_ms
             )
         else:
--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -128,7 +128,7 @@
     cell.confirm(*sent)
     for start, took_ms in zip(sent, (5_000, 900), strict=True):
         suspicion = cell.worker(start.worker_id).suspicion
-        suspicion.distrust(cell.now_ms)
+        suspicion.mark_suspect(cell.now_ms)
         cell.state.worker_by_id[start.worker_id].run_by_task[
             (start.order.task, start.order.run)
         ].running_since_ms = cell.now_ms - took_ms
--- a/tests/test_stepworkers.py
+++ b/tests/test_stepworkers.py
@@ -27,7 +27,7 @@
     later_ms = suspicion.suspect_until_ms
     assert suspicion.allows(later_ms, 0)
     assert not suspicion.allows(later_ms, 1)
-    suspicion.succeeded()
+    suspicion.record_success()
     assert suspicion.allows(later_ms, 5)
 
 
