--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -346,9 +346,9 @@
         self, lead: Lead, states: list[tuple[JobProgress, StepJobState]]
     ) -> None:
         for progress, state in states:
-            if progress.shown_state.is_final or not state.is_final:
+            if progress.visible_state.is_final or not state.is_final:
                 continue
-            progress.shown_state = state
+            progress.visible_state = state
             self._metrics.count(f"ended.{state.value}")
             self._metrics.timing("job", self._clock.now_ms() - progress.accepted_ms)
             logs.state_change(
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -137,7 +137,7 @@
     @handles(GetStepJob)
     async def _get(self, message: GetStepJob) -> StepJobShown:
         progress = self._find(self._current(), message.job_id)
-        return StepJobShown(progress.shown_state, progress.job.team)
+        return StepJobShown(progress.visible_state, progress.job.team)
 
     @handles(CancelStepJob)
     async def _cancel(self, message: CancelStepJob) -> Any:
@@ -156,9 +156,9 @@
                 await stored
         else:
             await self._settle(lead)
-        if not progress.shown_state.is_final:
+        if not progress.visible_state.is_final:
             raise OutcomeUnknownError("the lead ended before the job was cancelled")
-        return StepJobShown(progress.shown_state, progress.job.team)
+        return StepJobShown(progress.visible_state, progress.job.team)
 
     @handles(CountPending)
     async def _count_pending(self, message: CountPending) -> PendingCount:
@@ -217,7 +217,7 @@
         lead.purged_ms = now_ms
         oldest_ms = self._clock.unix_ms() - self._terms.status_ms - RETENTION_MARGIN_MS
         for progress in list(lead.state.job_by_id.values()):
-            if progress.shown_state.is_final and progress.ended_unix_ms < oldest_ms:
+            if progress.visible_state.is_final and progress.ended_unix_ms < oldest_ms:
                 job_id = progress.job.job_id
                 lead.state.remove_job(job_id)
                 self._save(
--- a/marjoramgrade/decisions/durations.py
+++ b/marjoramgrade/decisions/durations.py
@@ -5,11 +5,11 @@
 import attrs
 
 # Weight of a new duration in the average: about the last thirty tasks count.
-LEARNING_RATE = 1 / 30
+SMOOTHING_FACTOR = 1 / 30
 
 
 @attrs.define
-class Durations:
+class QueueDurations:
     """Average durations in milliseconds by queue."""
 
     _average_by_queue: dict[str, float] = attrs.field(factory=dict)
@@ -21,10 +21,10 @@
             self._average_by_queue[queue] = duration_ms
         else:
             self._average_by_queue[queue] = (
-                average + (duration_ms - average) * LEARNING_RATE
+                average + (duration_ms - average) * SMOOTHING_FACTOR
             )
 
-    def of(self, queue: str, estimate_ms: int) -> float:
+    def expected_ms(self, queue: str, estimate_ms: int) -> float:
         """Return the expected duration of a task.
 
         Args:
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -148,10 +148,10 @@
             for worker in permitted
             if worker.has_capacity(need, uses_spare=step.step.uses_spare)
             and worker.worker.worker_id not in taken
-            and (not most or step.count_on(worker.worker.worker_id) < most)
+            and (not most or step.count_runs_on(worker.worker.worker_id) < most)
             and worker.suspicion.allows(now_ms, len(worker.run_by_task))
         ]
-        bad = step.bad_workers_by_index.get(index, set())
+        bad = step.avoided_workers_by_index.get(index, set())
         return [w for w in fitting if w.worker.worker_id not in bad] or fitting
 
     def place_one(
@@ -192,7 +192,7 @@
     def _describe(self, step: StepProgress, now_ms: int, unix_ms: int) -> Waiting:
         progress = step.job
         queue = progress.queue
-        average_ms = self.state.durations.of(queue.name, step.step.estimate_ms)
+        average_ms = self.state.durations.expected_ms(queue.name, step.step.estimate_ms)
         whole = max(progress.chain_length(i) for i in range(len(progress.job.steps)))
         due_unix_ms = progress.due_unix_ms(step.occurrence)
         began_ms = progress.accepted_ms
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -92,7 +92,7 @@
     ) -> list[Run] | None:
         """Return the runs to stop so that a task fits, or None if it never does."""
         most = step.step.max_per_worker
-        if most and step.count_on(worker.worker.worker_id) >= most:
+        if most and step.count_runs_on(worker.worker.worker_id) >= most:
             return None
         runs = list(worker.run_by_task.values())
         free = attrs.evolve(worker)
--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -14,7 +14,7 @@
 from marjoramgrade.stepjobs import Step, StepJob, StepJobState, TaskRef
 
 # Tasks of a step of which the duration is known, before it tells what is usual.
-MIN_SIBLINGS = 3
+MIN_DURATION_SAMPLES = 3
 # A run that needs this many times the usual duration is on a slow worker; tasks of
 # one step differ by a third among themselves.
 SLOW_FACTOR = 3.2
@@ -42,7 +42,7 @@
         failed_runs_by_index: Numbers of the runs that failed, by task; a gang counts
             under its first task.
         checkpoint_by_index: Newest checkpoint by task; a gang's under its first task.
-        bad_workers_by_index: Workers on which the task did badly.
+        avoided_workers_by_index: Workers on which the task did badly.
         last_run_by_index: Highest run number by task.
         tickets: Advice on where it may run.
         ready_ms: When its turn came, or None.
@@ -59,7 +59,7 @@
     runs_by_index: dict[int, list[Run]] = attrs.field(factory=dict)
     failed_runs_by_index: dict[int, set[int]] = attrs.field(factory=dict)
     checkpoint_by_index: dict[int, str] = attrs.field(factory=dict)
-    bad_workers_by_index: dict[int, set[str]] = attrs.field(factory=dict)
+    avoided_workers_by_index: dict[int, set[str]] = attrs.field(factory=dict)
     last_run_by_index: dict[int, int] = attrs.field(factory=dict)
     tickets: TicketBook = attrs.field(factory=TicketBook)
     ready_ms: int | None = None
@@ -117,9 +117,13 @@
             total_ms = run.predicted_total_ms()
             if total_ms is not None:
                 totals.append(total_ms)
-        return statistics.median_low(totals) if len(totals) >= MIN_SIBLINGS else None
+        return (
+            statistics.median_low(totals)
+            if len(totals) >= MIN_DURATION_SAMPLES
+            else None
+        )
 
-    def count_on(self, worker_id: str) -> int:
+    def count_runs_on(self, worker_id: str) -> int:
         """Return how many runs of the step a worker has."""
         return sum(1 for run in self.iter_runs() if run.worker_id == worker_id)
 
@@ -233,7 +237,7 @@
         beyond_weight: Whether its team had used up its weight when it came.
         occurrences_done: Occurrences below this number are done entirely.
         ended_unix_ms: When it reached a final state, or 0.
-        shown_state: The state that the store holds; callers see this one.
+        visible_state: The state that the store holds; callers see this one.
     """
 
     job: StepJob
@@ -246,7 +250,7 @@
     beyond_weight: bool = False
     occurrences_done: int = 0
     ended_unix_ms: int = 0
-    shown_state: StepJobState = StepJobState.QUEUED
+    visible_state: StepJobState = StepJobState.QUEUED
 
     def open_occurrence(self, occurrence: int) -> list[StepProgress]:
         """Return the steps of an occurrence, made on first use."""
@@ -355,7 +359,7 @@
             The runs that workers have or may have.
         """
         self.stored = True
-        self.state = self.shown_state = record.state
+        self.state = self.visible_state = record.state
         self.ended_unix_ms = record.ended_unix_ms
         self.occurrences_done = record.occurrences_done
         self.started = bool(record.step_by_name or record.occurrences_done)
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -173,7 +173,7 @@
         progress = run.step.job
         progress.started = True
         if progress.state is StepJobState.QUEUED:
-            progress.state = progress.shown_state = StepJobState.RUNNING
+            progress.state = progress.visible_state = StepJobState.RUNNING
 
     def _progressed(self, run: Run, report: RunReport, now_ms: int) -> None:
         self._begin(run, now_ms)
@@ -202,7 +202,7 @@
         if end.ending is Ending.DONE and not step.step.long_running:
             self._task_done(step, end.task.index, unix_ms)
         elif end.ending is Ending.FAILED:
-            step.bad_workers_by_index.setdefault(end.task.index, set()).add(
+            step.avoided_workers_by_index.setdefault(end.task.index, set()).add(
                 worker.worker.worker_id
             )
             self._task_failed(step, end, unix_ms)
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -170,14 +170,14 @@
             return
         if total_ms < SLOW_FACTOR * usual_ms or left_ms <= usual_ms:
             return
-        bad = run.step.bad_workers_by_index.get(run.task.index, ())
+        bad = run.step.avoided_workers_by_index.get(run.task.index, ())
         if len(bad) < MAX_SLOW_WORKERS:
             self._move(run, worker, "slow", now_ms)
 
     def _stall_limit_ms(self, run: Run, usual_ms: float | None) -> float:
         """Return how long a run may show the same percentage."""
         queue = run.step.job.queue.name
-        expected_ms = usual_ms or self.state.durations.of(
+        expected_ms = usual_ms or self.state.durations.expected_ms(
             queue, run.step.step.estimate_ms
         )
         return max(STALL_MS, STALL_SHARE * expected_ms)
@@ -185,7 +185,7 @@
     def _move(self, run: Run, worker: WorkerState, reason: str, now_ms: int) -> None:
         """Start a copy elsewhere, or stop the run so that it starts elsewhere."""
         step, index = run.step, run.task.index
-        bad = step.bad_workers_by_index.setdefault(index, set())
+        bad = step.avoided_workers_by_index.setdefault(index, set())
         if run.worker_id in bad:
             return
         permitted = self.planner.permitted(step, now_ms)
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.durations import Durations
+from marjoramgrade.decisions.durations import QueueDurations
 from marjoramgrade.decisions.stepactions import (
     StartRun,
     StepAction,
@@ -56,7 +56,7 @@
     open_job_by_id: dict[str, JobProgress] = attrs.field(factory=dict)
     worker_by_id: dict[str, WorkerState] = attrs.field(factory=dict)
     usage: TeamUsage = attrs.field(factory=TeamUsage)
-    durations: Durations = attrs.field(factory=Durations)
+    durations: QueueDurations = attrs.field(factory=QueueDurations)
     _actions: list[StepAction] = attrs.field(factory=list)
     _changed: dict[str, JobProgress] = attrs.field(factory=dict)
 
