--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -54,7 +54,7 @@
     async def write(self, state: ShardTasks, stored: StoredJob) -> None:
         """Write the outcomes that wait for a job, then acknowledge its ends."""
         job_id = stored.job.job_id
-        outcomes = state.outcomes.take(job_id)
+        outcomes = state.outcomes.begin_write(job_id)
         merged = outcomes.merge_into(stored.job)
         try:
             written = stored
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -10,7 +10,7 @@
 from marjoramgrade.controllers.outboxes import Outboxes
 from marjoramgrade.decisions.actions import Ending, StartTask
 from marjoramgrade.decisions.excess import choose_excess
-from marjoramgrade.decisions.outcomes import OutcomeBook
+from marjoramgrade.decisions.outcomes import PendingOutcomes
 from marjoramgrade.decisions.retries import RETRY_POLICIES, RetryPolicy, TaskAttempts
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.sessions import WorkerSessions
@@ -80,7 +80,7 @@
     roster: StoredRoster
     job_by_id: dict[str, StoredJob] = attrs.field(factory=dict)
     sessions: WorkerSessions = attrs.field(factory=WorkerSessions)
-    outcomes: OutcomeBook = attrs.field(factory=OutcomeBook)
+    outcomes: PendingOutcomes = attrs.field(factory=PendingOutcomes)
     outboxes: Outboxes = attrs.field(factory=Outboxes)
     _retry_by_kind: dict[Kind, RetryPolicy] = attrs.field(factory=dict)
     _attempt_by_task: dict[TaskId, int] = attrs.field(factory=dict)
@@ -194,11 +194,11 @@
             task = TaskId(job.job_id, index)
             is_open = outcome == Outcome.OPEN.value
             if is_open and not self._worker_of(task):
-                self.outcomes.note(task, Outcome.CANCELLED)
+                self.outcomes.record(task, Outcome.CANCELLED)
 
     def _forget(self, job: Job) -> None:
         self.job_by_id.pop(job.job_id, None)
-        self.outcomes.forget_job(job)
+        self.outcomes.discard_job(job)
         for index in range(job.spec.tasks):
             self._attempt_by_task.pop(TaskId(job.job_id, index), None)
 
@@ -309,10 +309,10 @@
             return
         ending = ENDING_BY_OUTCOME.get(end.outcome, Ending.FAILED)
         if ending is Ending.DONE:
-            self.outcomes.note(end.task, Outcome.DONE, worker_id)
+            self.outcomes.record(end.task, Outcome.DONE, worker_id)
             self._stop_elsewhere(end.task, worker_id)
         elif stored.job.cancelled:
-            self.outcomes.note(end.task, Outcome.CANCELLED, worker_id)
+            self.outcomes.record(end.task, Outcome.CANCELLED, worker_id)
         else:
             self.outboxes.acknowledge(worker_id, end.task)
         if self._worker_of(end.task) == worker_id:
@@ -355,7 +355,7 @@
         again = self.scheduler.task_ended(task, ending, now_ms)
         if stored is None or stored.job.cancelled:
             if stored is not None and ending is not Ending.DONE:
-                self.outcomes.note(task, Outcome.CANCELLED)
+                self.outcomes.record(task, Outcome.CANCELLED)
             return
         if again is None:
             return
@@ -363,7 +363,7 @@
         delay_ms = self._retry_by_kind[spec.kind].delay_ms(again.attempts)
         if delay_ms is None or _is_exhausted(spec, again):
             for failed in again.iter_tasks():
-                self.outcomes.note(failed, Outcome.FAILED)
+                self.outcomes.record(failed, Outcome.FAILED)
             return
         self.scheduler.submit(
             attrs.evolve(again, not_before_ms=now_ms + delay_ms), now_ms
--- a/marjoramgrade/decisions/outcomes.py
+++ b/marjoramgrade/decisions/outcomes.py
@@ -28,7 +28,7 @@
         )
 
 
-class OutcomeBook:
+class PendingOutcomes:
     """Final outcomes of a shard's tasks on their way to the table."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         self._writing: set[str] = set()
         self._final_by_task: dict[TaskId, Outcome] = {}
 
-    def note(self, task: TaskId, outcome: Outcome, worker_id: str = "") -> bool:
+    def record(self, task: TaskId, outcome: Outcome, worker_id: str = "") -> bool:
         """Note the final outcome of a task.
 
         Args:
@@ -68,7 +68,7 @@
         """Return the jobs with outcomes that no write carries yet."""
         return [job for job in self._waiting_by_job if job not in self._writing]
 
-    def take(self, job_id: str) -> JobOutcomes:
+    def begin_write(self, job_id: str) -> JobOutcomes:
         """Take what is to be written about a job; one write at a time."""
         self._writing.add(job_id)
         return self._waiting_by_job.pop(job_id)
@@ -88,7 +88,7 @@
         """Return whether something about a job is still to be written."""
         return job_id in self._writing or job_id in self._waiting_by_job
 
-    def forget_job(self, job: Job) -> None:
+    def discard_job(self, job: Job) -> None:
         """Drop what is kept about a job that has ended or moved away."""
         for index in range(job.spec.tasks):
             self._final_by_task.pop(TaskId(job.job_id, index), None)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -3,7 +3,7 @@
 from marjoramgrade.actor import Actor, ActorGroup
 from marjoramgrade.clock import ManualClock
 from marjoramgrade.controllers.jobs import JobsController
-from marjoramgrade.decisions.outcomes import OutcomeBook
+from marjoramgrade.decisions.outcomes import PendingOutcomes
 from marjoramgrade.messages.jobs import GetTasks, TaskStatus, WriteJob
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.model import Job, JobSpec, Kind, Outcome, TaskId
@@ -46,9 +46,9 @@
 
 def test_an_outcome_is_known_before_it_is_durable() -> None:
     """Guards against an ended task that is listed as queued without a reason."""
-    book, task = OutcomeBook(), TaskId("pack", 0)
-    book.note(task, Outcome.DONE)
-    book.take("pack")
+    book, task = PendingOutcomes(), TaskId("pack", 0)
+    book.record(task, Outcome.DONE)
+    book.begin_write("pack")
     assert book.outcome_of(task) is Outcome.DONE
-    book.forget_job(ENDED)
+    book.discard_job(ENDED)
     assert book.outcome_of(task) is None
