--- a/tests/steps.py
+++ b/tests/steps.py
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Cell:
+class StepHarness:
     """A state with its planner and a clock, driven by hand."""
 
     state: StepState
@@ -54,7 +54,7 @@
         *workers: StepWorker,
         epoch: int = 1,
         limit: Resources | None = None,
-    ) -> Cell:
+    ) -> StepHarness:
         """Return a state whose workers are listed in sync and empty."""
         state = StepState(epoch)
         team = TeamPolicy("red", weight=1_000.0, limit=limit or Resources())
@@ -63,8 +63,8 @@
         cell = cls(state, Planner(state, AdvisorLines("own", {"peer": 1})))
         for worker in workers:
             state.add_worker(worker)
-            cell.listing(worker.worker_id)
-        cell.drain()
+            cell.report_listing(worker.worker_id)
+        cell.collect_actions()
         return cell
 
     def add(self, new: StepJob, queue: Queue = URGENT) -> JobProgress:
@@ -76,9 +76,9 @@
     def plan(self) -> list[StepAction]:
         """Plan and return what is to be done."""
         self.planner.plan(self.now_ms, self.now_ms)
-        return self.drain()
+        return self.collect_actions()
 
-    def drain(self) -> list[StepAction]:
+    def collect_actions(self) -> list[StepAction]:
         """Return what is to be done."""
         actions = self.state.pop_actions()
         self.sent.extend(actions)
@@ -88,7 +88,7 @@
         """Return a worker."""
         return self.state.worker_by_id[worker_id]
 
-    def listing(
+    def report_listing(
         self,
         worker_id: str,
         *,
@@ -119,7 +119,9 @@
     def end(self, start: StartRun, number: int, ending: Ending = Ending.DONE) -> None:
         """Let a worker list the end of a run."""
         task, run = start.order.task, start.order.run
-        self.listing(start.worker_id, ended=(RunEnd(number, task, run, ending, ""),))
+        self.report_listing(
+            start.worker_id, ended=(RunEnd(number, task, run, ending, ""),)
+        )
 
 
 def worker(
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -15,7 +15,7 @@
     ADVISED,
     BORN_MS,
     REPORTS,
-    Cell,
+    StepHarness,
     cores,
     job,
     report,
@@ -38,7 +38,7 @@
 
 def test_worker_is_never_filled_beyond_its_capacity():
     # Guards against overcommitting a worker that starts whatever it is told.
-    cell = Cell.make(worker("w", 4))
+    cell = StepHarness.make(worker("w", 4))
     cell.add(job("a", Step(10, cores(1))))
     assert len(starts(cell.plan())) == 4
     assert starts(cell.plan()) == []
@@ -46,7 +46,7 @@
 
 def test_team_limit_holds_over_all_workers():
     # Guards against a team that runs more than its upper limit.
-    cell = Cell.make(worker("w"), worker("v"), limit=Resources(cpu_millis=3_000))
+    cell = StepHarness.make(worker("w"), worker("v"), limit=Resources(cpu_millis=3_000))
     cell.add(job("a", Step(10, cores(1))))
     assert len(starts(cell.plan())) == 3
 
@@ -54,7 +54,7 @@
 def test_evacuated_zone_and_draining_worker_get_nothing():
     # Guards against starts in a zone that was taken out, or on a leaving worker.
     leaving = attrs.evolve(worker("x"), draining=True)
-    cell = Cell.make(worker("w", zone="south"), worker("v"), leaving)
+    cell = StepHarness.make(worker("w", zone="south"), worker("v"), leaving)
     cell.state.evacuated_zones = frozenset({"south"})
     cell.add(job("a", Step(20, cores(1))))
     assert {start.worker_id for start in starts(cell.plan())} == {"v"}
@@ -62,24 +62,26 @@
 
 def test_label_and_share_of_one_worker_are_kept():
     # Guards against tasks on workers without the label, or too many on one.
-    cell = Cell.make(worker("w", labels=("fast", "r1")), worker("v", labels=("r1",)))
+    cell = StepHarness.make(
+        worker("w", labels=("fast", "r1")), worker("v", labels=("r1",))
+    )
     cell.add(job("a", Step(5, cores(1), required_label="fast", max_per_worker=2)))
     assert [start.worker_id for start in starts(cell.plan())] == ["w", "w"]
 
 
 def test_gang_starts_whole_or_not_at_all():
     # Guards against members that wait in vain for the rest of their gang.
-    cell = Cell.make(worker("w", 2), worker("v", 1))
+    cell = StepHarness.make(worker("w", 2), worker("v", 1))
     cell.add(job("a", Step(4, cores(1), gang=True)))
     assert starts(cell.plan()) == []
     cell.state.add_worker(worker("x", 1))
-    cell.listing("x")
+    cell.report_listing("x")
     assert len(starts(cell.plan())) == 4
 
 
 def test_failed_task_goes_to_another_worker():
     # Guards against a task that uses up its attempts on one bad worker.
-    cell = Cell.make(worker("w"), worker("v"))
+    cell = StepHarness.make(worker("w"), worker("v"))
     cell.add(job("a"))
     (first,) = starts(cell.plan())
     cell.confirm(first)
@@ -90,7 +92,7 @@
 
 def test_advice_is_asked_once_and_used():
     # Guards against a start without a ticket, which the worker rejects.
-    cell = Cell.make(worker("w"), worker("v"))
+    cell = StepHarness.make(worker("w"), worker("v"))
     progress = cell.add(job("a", queue=ADVISED), ADVISED)
     actions = cell.plan()
     assert starts(actions) == []
@@ -105,14 +107,14 @@
 def test_advice_is_not_asked_for_a_team_at_its_limit():
     # Guards against filling the advisor's lines with calls whose tickets lapse
     # unused, which delayed urgent jobs by seconds.
-    cell = Cell.make(worker("w"), limit=Resources(cpu_millis=500))
+    cell = StepHarness.make(worker("w"), limit=Resources(cpu_millis=500))
     cell.add(job("a", queue=ADVISED), ADVISED)
     assert asked(cell.plan()) == []
 
 
 def test_advice_that_never_reached_the_advisor_is_asked_again_at_once():
     # Guards against a step that waits for an instance which has just been restarted.
-    cell = Cell.make(worker("w", 8))
+    cell = StepHarness.make(worker("w", 8))
     cell.add(job("a", queue=ADVISED), ADVISED)
     first = asked(cell.plan())
     cell.planner.lines.ended(first[0].instance_id, first[0].decide_ms)
@@ -126,7 +128,7 @@
 
 def test_advice_of_a_worker_that_left_is_left_out():
     # Guards against an answer that names a worker which has gone meanwhile.
-    cell = Cell.make(worker("w", 8))
+    cell = StepHarness.make(worker("w", 8))
     cell.add(job("a", queue=ADVISED), ADVISED)
     question = asked(cell.plan())[0]
     until_ms = cell.now_ms + 2_000
@@ -136,7 +138,7 @@
 
 def test_advice_is_asked_again_when_tickets_have_lapsed():
     # Guards against a step that waits for ever with tickets that no longer count.
-    cell = Cell.make(worker("w", 1), worker("v", 1))
+    cell = StepHarness.make(worker("w", 1), worker("v", 1))
     progress = cell.add(job("a", Step(3, cores(1)), queue=ADVISED), ADVISED)
     cell.plan()
     give_tickets(cell, progress, "v")
@@ -150,7 +152,7 @@
 
 def test_rejected_ticket_is_asked_for_again():
     # Guards against a worker that is never asked about again after a new life.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a", queue=ADVISED), ADVISED)
     cell.plan()
     give_tickets(cell, progress, "w")
@@ -162,7 +164,7 @@
 
 def test_reason_of_waiting_steps_is_counted():
     # Guards against a load line that cannot explain why a job was late.
-    cell = Cell.make(worker("w", 1), limit=Resources(cpu_millis=1_500))
+    cell = StepHarness.make(worker("w", 1), limit=Resources(cpu_millis=1_500))
     cell.add(job("a", Step(2, cores(1))))
     cell.plan()
     assert cell.planner.waiting_by_reason == {"urgent:team_limit": 1}
@@ -174,7 +176,7 @@
     The pattern: reports of 6 s could take three times the room, then urgent jobs of
     1 s come for 6 s and need a third of it.
     """
-    cell = Cell.make(*(worker(f"w{i}", 8) for i in range(6)))
+    cell = StepHarness.make(*(worker(f"w{i}", 8) for i in range(6)))
     cell.planner.order = STEP_ORDERS.get(order)
     cell.state.durations.add("urgent", 1_000)
     cell.state.durations.add("reports", 6_000)
@@ -225,7 +227,7 @@
     its weight, for 10 s; each job takes one core for 1 s. No start is possible in the
     first 3 s, so that a backlog is late already.
     """
-    cell = Cell.make(worker("w", 64), limit=cores(4, 0))
+    cell = StepHarness.make(worker("w", 64), limit=cores(4, 0))
     red = attrs.evolve(cell.state.config.team_by_name["red"], weight=4.0)
     cell.state.config.team_by_name["red"] = red
     cell.state.durations.add("urgent", 1_000)
@@ -238,7 +240,7 @@
             due_ends.remove(entry)
             number += 1
             order = entry[1].order
-            cell.listing(
+            cell.report_listing(
                 "w",
                 running=tuple(report(start) for _, start in due_ends),
                 ended=(RunEnd(number, order.task, order.run, Ending.DONE, ""),),
@@ -265,7 +267,7 @@
     # Guards against a leader whose plans take all its time while one team has a long
     # queue: 150 such steps and 176 workers took 19 ms a plan
     # (ledgerwell-accounts-grown trouble-3).
-    cell = Cell.make(worker("w", 8), limit=cores(1, 0))
+    cell = StepHarness.make(worker("w", 8), limit=cores(1, 0))
     for index in range(10):
         cell.add(job(f"u{index}"))
     assert len(starts(cell.plan())) == 1
@@ -280,7 +282,7 @@
     # Guards against a leader whose plans take all its time: each step that waited for
     # room looked at all 176 workers 60 times a second (kbwb-arrears-grown quiet-1, a
     # third of the leader's time).
-    cell = Cell.make(*(worker(f"w{index}", 8) for index in range(100)))
+    cell = StepHarness.make(*(worker(f"w{index}", 8) for index in range(100)))
     progress = cell.add(job("a", Step(1, cores(16)), queue=ADVISED), ADVISED)
     give_tickets(cell, progress, "w1", "w2")
     cell.planner.lines.began("own", 1_000)
@@ -301,7 +303,7 @@
     # Guards against starts that workers reject after an outage of the store: 40 at the
     # moment of its return, while the steps could have asked again (kbwb-arrears
     # trouble-3).
-    cell = Cell.make(worker("w", 8))
+    cell = StepHarness.make(worker("w", 8))
     progress = cell.add(job("a", queue=ADVISED), ADVISED)
     give_tickets(cell, progress, "w")
     (start,) = starts(cell.plan())
@@ -317,9 +319,9 @@
 def test_worker_that_left_a_call_unanswered_gets_nothing_until_it_answers():
     # Guards against placing more work in a zone that is being cut off: two calls had to
     # go unanswered before a worker counted as silent.
-    cell = Cell.make(worker("w", 8))
+    cell = StepHarness.make(worker("w", 8))
     cell.worker("w").has_unanswered_call = True
     cell.add(job("a"))
     assert starts(cell.plan()) == []
-    cell.listing("w")
+    cell.report_listing("w")
     assert len(starts(cell.plan())) == 1
--- a/tests/test_steppreemption.py
+++ b/tests/test_steppreemption.py
@@ -4,12 +4,12 @@
 
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import Step
-from tests.steps import REPORTS, Cell, cores, job, report, starts, stops, worker
+from tests.steps import REPORTS, StepHarness, cores, job, report, starts, stops, worker
 
 
 def test_report_makes_way_for_an_urgent_task_of_its_team():
     # Guards against urgent jobs that wait for reports of the same team to end.
-    cell = Cell.make(worker("w"), limit=Resources(cpu_millis=4_000))
+    cell = StepHarness.make(worker("w"), limit=Resources(cpu_millis=4_000))
     cell.add(job("r", Step(4, cores(1), checkpoints=True), queue=REPORTS), REPORTS)
     cell.confirm(*starts(cell.plan()))
     cell.add(job("u", Step(2, cores(1))))
@@ -22,12 +22,12 @@
 
 def test_run_with_the_newest_checkpoint_makes_way():
     # Guards against throwing more work away than the urgent task needs.
-    cell = Cell.make(worker("w", 2))
+    cell = StepHarness.make(worker("w", 2))
     cell.add(job("r", Step(2, cores(1), checkpoints=True), queue=REPORTS), REPORTS)
     old, fresh = starts(cell.plan())
     cell.confirm(old, fresh)
     cell.now_ms += 3_000
-    cell.listing("w", running=(report(old), report(fresh, checkpoint="new")))
+    cell.report_listing("w", running=(report(old), report(fresh, checkpoint="new")))
     cell.add(job("u"))
     cell.plan()
     cell.now_ms += 100
@@ -37,7 +37,7 @@
 
 def test_nothing_makes_way_for_work_beyond_the_weight_of_its_team():
     # Guards against a flood of one team that throws the work of others away.
-    cell = Cell.make(worker("w", 1))
+    cell = StepHarness.make(worker("w", 1))
     cell.add(job("r", queue=REPORTS), REPORTS)
     cell.confirm(*starts(cell.plan()))
     cell.add(job("u")).beyond_weight = True
@@ -48,7 +48,7 @@
 
 def test_gang_and_long_running_tasks_stay():
     # Guards against stopping a whole gang, or a watch, for one urgent task.
-    cell = Cell.make(worker("w", 2))
+    cell = StepHarness.make(worker("w", 2))
     cell.add(job("g", Step(1, cores(1), gang=True), queue=REPORTS), REPORTS)
     cell.add(job("l", Step(1, cores(1), long_running=True), queue=REPORTS), REPORTS)
     cell.confirm(*starts(cell.plan()))
@@ -61,7 +61,7 @@
 def test_steps_of_one_team_at_its_limit_sort_its_runs_once(monkeypatch):
     # Guards against a leader that sorts all runs of a team for each of its waiting
     # steps: 20 steps and 1,000 runs took 78 ms a plan.
-    cell = Cell.make(worker("w", 60), limit=Resources(cpu_millis=50_000))
+    cell = StepHarness.make(worker("w", 60), limit=Resources(cpu_millis=50_000))
     cell.add(job("r", Step(50, cores(1)), queue=REPORTS), REPORTS)
     cell.confirm(*starts(cell.plan()))
     for index in range(10):
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -13,7 +13,7 @@
 from marjoramgrade.steprows import parse_row, serialize_row
 from tests.steps import (
     REPORTS,
-    Cell,
+    StepHarness,
     cores,
     job,
     ref,
@@ -26,7 +26,7 @@
 
 def test_job_of_two_steps_runs_in_order():
     # Guards against a step that starts before its predecessor is done.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a", Step(2, cores(1)), Step(1, cores(1), after=(0,))))
     first, second = starts(cell.plan())
     assert {first.order.task.step, second.order.task.step} == {0}
@@ -44,7 +44,7 @@
 
 def test_dropped_job_gives_its_room_back():
     # Guards against room that stays taken for a job that was refused unsent.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"))
     progress.stored = False
     assert len(starts(cell.plan())) == 1
@@ -55,29 +55,29 @@
 
 def test_unanswered_start_is_settled_by_a_listing_under_a_higher_fence():
     # Guards against a task that runs twice when an order is carried out late.
-    cell = Cell.make(worker("w"), worker("v"))
+    cell = StepHarness.make(worker("w"), worker("v"))
     cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.state.record_start_unknown(start.worker_id, start.order.task, start.order.run)
-    (sync,) = cell.drain()
+    (sync,) = cell.collect_actions()
     assert isinstance(sync, SyncWorker)
     assert sync.fence > start.fence
     assert starts(cell.plan()) == []
     # A listing under the old fence proves nothing.
-    cell.listing(start.worker_id, fence=start.fence)
+    cell.report_listing(start.worker_id, fence=start.fence)
     assert starts(cell.plan()) == []
-    cell.listing(start.worker_id)
+    cell.report_listing(start.worker_id)
     (again,) = starts(cell.plan())
     assert again.order.run > start.order.run
 
 
 def test_unanswered_start_that_is_present_goes_on():
     # Guards against stopping work whose start was only unanswered.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.state.record_start_unknown(start.worker_id, start.order.task, start.order.run)
-    cell.listing("w", running=(report(start),))
+    cell.report_listing("w", running=(report(start),))
     assert starts(cell.plan()) == []
     cell.end(start, 1)
     assert progress.state is StepJobState.COMPLETED
@@ -86,7 +86,7 @@
 def test_end_that_is_listed_again_counts_once():
     # Guards against a job that fails because one failure was reported twice, to
     # this leader or to one after it.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"), REPORTS)
     (start,) = starts(cell.plan())
     cell.confirm(start)
@@ -95,16 +95,16 @@
     assert progress.state is not StepJobState.FAILED
     record = parse_row(serialize_row(progress.record()), JobRecord)
 
-    heir = Cell.make(worker("w"), epoch=2)
+    heir = StepHarness.make(worker("w"), epoch=2)
     restored = heir.state.restore_job(progress.job, REPORTS, record, 0, 0)
     end = RunEnd(1, start.order.task, start.order.run, Ending.FAILED, "")
-    heir.listing("w", ended=(end,))
+    heir.report_listing("w", ended=(end,))
     assert restored.state is not StepJobState.FAILED
 
 
 def test_attempts_are_used_up_by_failures_only():
     # Guards against a job shown as failed because workers were lost.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"), REPORTS)
     for number, ending in enumerate(
         (Ending.STOPPED, Ending.LEASE_EXPIRED, Ending.FAILED, Ending.FAILED), 1
@@ -119,7 +119,7 @@
 def test_successor_knows_placed_tasks_on_a_worker_that_it_cannot_reach():
     # Guards against a second run of a task, and against holding all other work
     # back, while a worker is cut off from a new leader.
-    cell = Cell.make(worker("w", 1), worker("v", 1))
+    cell = StepHarness.make(worker("w", 1), worker("v", 1))
     placed = cell.add(job("a"))
     waiting = cell.add(job("b", Step(2, cores(1))))
     cell.plan()
@@ -128,24 +128,24 @@
     state = StepState(2, cell.state.config)
     for worker_id in ("w", "v"):
         state.add_worker(worker(worker_id, 1))
-    heir = Cell(state, attrs.evolve(cell.planner, state=state))
+    heir = StepHarness(state, attrs.evolve(cell.planner, state=state))
     for progress in (placed, waiting):
         record = records.get(progress.job.job_id, JobRecord())
         state.restore_job(progress.job, progress.queue, record, 0, 0)
     unreachable = heir.state.job_by_id["a"].open_occurrence(0)[0].runs_by_index[0][0]
     other = "v" if unreachable.worker_id == "w" else "w"
-    heir.listing(other)
-    heir.drain()
+    heir.report_listing(other)
+    heir.collect_actions()
     assert {s.order.task.job_id for s in starts(heir.plan())} == {"b"}
     assert heir.state.usage.used_by_team["red"] == cores(2, 200)
     heir.state.expire_worker(heir.worker(unreachable.worker_id))
-    heir.listing(unreachable.worker_id)
+    heir.report_listing(unreachable.worker_id)
     assert "a" in {s.order.task.job_id for s in starts(heir.plan())}
 
 
 def test_run_numbers_of_a_new_leader_are_higher():
     # Guards against a start that a worker rejects as older than one it has ended.
-    cell = Cell.make(worker("w"), epoch=3)
+    cell = StepHarness.make(worker("w"), epoch=3)
     cell.add(job("a"))
     (start,) = starts(cell.plan())
     assert start.order.run == 2 * RUNS_PER_EPOCH + 1
@@ -153,7 +153,7 @@
 
 def test_first_run_number_is_one():
     # Guards against a change of the numbering that the platform's pages give.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     cell.add(job("a"))
     (start,) = starts(cell.plan())
     assert start.order.run == 1
@@ -161,26 +161,26 @@
 
 def test_run_of_a_cancelled_job_is_adopted_by_nobody():
     # Guards against a run that outlives its cancelled job after a takeover.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"))
     cell.state.cancel_job(progress, 0)
     cell.state.request_sync(cell.worker("w"))
-    cell.drain()
-    cell.listing("w", running=(RunReport(ref("a"), 1, "", 10, 0),))
-    (stop,) = stops(cell.drain())
+    cell.collect_actions()
+    cell.report_listing("w", running=(RunReport(ref("a"), 1, "", 10, 0),))
+    (stop,) = stops(cell.collect_actions())
     assert stop.task == ref("a")
     assert not cell.worker("w").accepts_work(cell.now_ms)
 
 
 def test_cancelled_start_is_stopped_once_it_is_confirmed():
     # Guards against a stop that overtakes the start it belongs to.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.state.cancel_job(progress, 0)
-    assert stops(cell.drain()) == []
+    assert stops(cell.collect_actions()) == []
     cell.confirm(start)
-    assert len(stops(cell.drain())) == 1
+    assert len(stops(cell.collect_actions())) == 1
     assert cell.worker("w").used == cores(1)
     cell.end(start, 1, Ending.STOPPED)
     assert cell.worker("w").used == NOTHING
@@ -189,81 +189,81 @@
 
 def test_new_life_of_a_worker_has_none_of_the_old_runs():
     # Guards against room that stays taken after a worker started again.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.confirm(start)
-    cell.listing("w", born_ms=5_000)
-    cell.drain()
-    cell.listing("w", born_ms=5_000)
+    cell.report_listing("w", born_ms=5_000)
+    cell.collect_actions()
+    cell.report_listing("w", born_ms=5_000)
     assert cell.worker("w").used == NOTHING
     assert len(starts(cell.plan())) == 1
 
 
 def test_listing_of_an_earlier_life_is_ignored():
     # Guards against an answer that arrives after the worker started again.
-    cell = Cell.make(worker("w"))
-    cell.listing("w", born_ms=5_000)
-    cell.listing("w", born_ms=5_000)
+    cell = StepHarness.make(worker("w"))
+    cell.report_listing("w", born_ms=5_000)
+    cell.report_listing("w", born_ms=5_000)
     end = RunEnd(1, ref("a"), 1, Ending.DONE, "")
-    cell.listing("w", ended=(end,), born_ms=BORN)
+    cell.report_listing("w", ended=(end,), born_ms=BORN)
     assert cell.worker("w").last_end_number == 0
 
 
 def test_vanished_run_is_lost_only_after_a_later_listing():
     # Guards against losing a run that a listing from before its start lacks.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.confirm(start)
     cell.now_ms += 40
-    cell.listing("w")
+    cell.report_listing("w")
     step = progress.open_occurrence(0)[0]
     assert step.phases == [TaskPhase.PLACED]
     cell.now_ms += 200
-    cell.listing("w")
+    cell.report_listing("w")
     assert step.phases == [TaskPhase.WAITING]
 
 
 def test_gang_is_done_when_one_member_is():
     # Guards against starting the rest of a gang again that ended together.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a", Step(3, cores(1), gang=True)))
     members = starts(cell.plan())
     assert {m.order.run for m in members} == {1}
     cell.confirm(*members)
     cell.end(members[0], 1)
     assert progress.state is StepJobState.COMPLETED
-    assert stops(cell.drain()) == []
+    assert stops(cell.collect_actions()) == []
 
 
 def test_copies_are_stopped_when_one_is_done():
     # Guards against a copy that keeps its room after the task is done.
-    cell = Cell.make(worker("w"), worker("v"))
+    cell = StepHarness.make(worker("w"), worker("v"))
     progress = cell.add(job("a", Step(1, cores(1), speculative=True)))
     (start,) = starts(cell.plan())
     cell.confirm(start)
     step = progress.open_occurrence(0)[0]
     others = [w for w in cell.state.worker_by_id.values() if not w.run_by_task]
     assert cell.planner.place_one(step, 0, others, cell.now_ms)
-    (copy,) = starts(cell.drain())
+    (copy,) = starts(cell.collect_actions())
     cell.confirm(copy)
     cell.end(start, 1)
-    (stop,) = stops(cell.drain())
+    (stop,) = stops(cell.collect_actions())
     assert stop.worker_id == copy.worker_id
 
 
 def test_record_survives_the_store():
     # Guards against progress that is lost or changed on its way through a row.
-    cell = Cell.make(worker("w"))
+    cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a", Step(3, cores(1), checkpoints=True)))
     first, second, _ = starts(cell.plan())
     cell.confirm(first, second)
     cell.end(first, 1)
     end = RunEnd(2, second.order.task, second.order.run, Ending.FAILED, "saved-1")
-    cell.listing("w", ended=(end,))
+    cell.report_listing("w", ended=(end,))
     record = parse_row(serialize_row(progress.record()), JobRecord)
-    heir = Cell.make(worker("w"), epoch=2)
+    heir = StepHarness.make(worker("w"), epoch=2)
     restored = heir.state.restore_job(progress.job, progress.queue, record, 0, 0)
     step = restored.open_occurrence(0)[0]
     assert step.done_count == 1
@@ -278,22 +278,22 @@
     # Guards against two runs of a task at a time: an order that went unanswered was
     # carried out by the next life of the worker, which had seen no fence, after the
     # task had been placed elsewhere (soak seed 1 of 12 s, a worker that crashes).
-    cell = Cell.make(worker("w1", 1), worker("w2", 1))
+    cell = StepHarness.make(worker("w1", 1), worker("w2", 1))
     cell.add(job("a"))
     first = starts(cell.plan())[0]
     cell.now_ms += 100
-    cell.listing(first.worker_id, born_ms=5_000)
+    cell.report_listing(first.worker_id, born_ms=5_000)
     assert not starts(cell.plan())
-    cell.listing(first.worker_id, running=(report(first),), born_ms=5_000)
+    cell.report_listing(first.worker_id, running=(report(first),), born_ms=5_000)
     assert not starts(cell.plan())
 
 
 def test_order_that_the_next_life_has_not_carried_out_never_will_be():
     # Guards against a task that waits for ever for an order to an earlier life.
-    cell = Cell.make(worker("w1", 1), worker("w2", 1))
+    cell = StepHarness.make(worker("w1", 1), worker("w2", 1))
     cell.add(job("a"))
     first = starts(cell.plan())[0]
     cell.now_ms += 100
-    cell.listing(first.worker_id, born_ms=5_000)
-    cell.listing(first.worker_id, born_ms=5_000)
+    cell.report_listing(first.worker_id, born_ms=5_000)
+    cell.report_listing(first.worker_id, born_ms=5_000)
     assert len(starts(cell.plan())) == 1
--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -8,17 +8,17 @@
 from marjoramgrade.decisions.stepsupervision import Supervisor
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import Ending, Step
-from tests.steps import REPORTS, Cell, cores, job, report, starts, stops, worker
+from tests.steps import REPORTS, StepHarness, cores, job, report, starts, stops, worker
 
 
 def supervise(cell, supervisor):
     supervisor.supervise(cell.now_ms)
-    return cell.drain()
+    return cell.collect_actions()
 
 
 @pytest.fixture
 def cell():
-    return Cell.make(worker("w", 4), worker("v", 4))
+    return StepHarness.make(worker("w", 4), worker("v", 4))
 
 
 @pytest.fixture
@@ -31,9 +31,9 @@
     cell.add(job("a"))
     (start,) = starts(cell.plan())
     cell.confirm(start)
-    cell.listing(start.worker_id, running=(report(start, 20),))
+    cell.report_listing(start.worker_id, running=(report(start, 20),))
     cell.now_ms += 2_000
-    cell.listing(start.worker_id, running=(report(start, 20),))
+    cell.report_listing(start.worker_id, running=(report(start, 20),))
     (stop,) = stops(supervise(cell, supervisor))
     cell.end(start, 1, Ending.STOPPED)
     (again,) = starts(cell.plan())
@@ -52,7 +52,7 @@
     for percent in range(10, 90, 10):
         cell.now_ms += 600
         for start in sent:
-            cell.listing(start.worker_id, running=(report(start, percent),))
+            cell.report_listing(start.worker_id, running=(report(start, percent),))
         assert supervise(cell, supervisor) == []
 
 
@@ -71,7 +71,7 @@
     ):
         cell.now_ms += passed_ms
         for worker_id in {start.worker_id for start in sent}:
-            cell.listing(
+            cell.report_listing(
                 worker_id,
                 running=tuple(
                     report(start, slow_percent if start is slow else percent)
@@ -86,7 +86,7 @@
 def test_task_that_is_slow_everywhere_is_let_run():
     # Guards against a task that is longer than its siblings and starts anew on one
     # worker after the other (kbwb-arrears trouble-3: nine times, 18 s instead of 3 s).
-    cell = Cell.make(*(worker(f"w{index}", 4) for index in range(6)))
+    cell = StepHarness.make(*(worker(f"w{index}", 4) for index in range(6)))
     supervisor = Supervisor(cell.state, cell.planner)
     progress = cell.add(job("a", Step(1, cores(1))))
     progress.open_occurrence(0)[0].done_durations += [500, 500, 500]
@@ -95,7 +95,7 @@
         (start,) = starts(cell.plan())
         cell.confirm(start)
         cell.now_ms += 600
-        cell.listing(start.worker_id, running=(report(start, 20),))
+        cell.report_listing(start.worker_id, running=(report(start, 20),))
         if not stops(supervise(cell, supervisor)):
             break
         moves += 1
@@ -113,7 +113,7 @@
     (start,) = starts(cell.plan())
     cell.confirm(start)
     cell.now_ms += 500
-    cell.listing(start.worker_id, running=(report(start, 8),))
+    cell.report_listing(start.worker_id, running=(report(start, 8),))
     assert stops(supervise(cell, supervisor)) == []
     cell.worker(start.worker_id).suspicion.probing = True
     (stop,) = stops(supervise(cell, supervisor))
@@ -144,7 +144,7 @@
     silent = cell.worker(start.worker_id)
     silent.unresponsive_since_ms = cell.now_ms
     cell.state.request_sync(silent)
-    cell.drain()
+    cell.collect_actions()
     cell.now_ms += 300
     (copy,) = starts(supervise(cell, supervisor))
     assert copy.worker_id != start.worker_id
@@ -159,7 +159,7 @@
     silent = cell.worker(start.worker_id)
     silent.unresponsive_since_ms = cell.now_ms
     cell.state.request_sync(silent)
-    cell.drain()
+    cell.collect_actions()
     cell.now_ms += 5_000
     assert starts(supervise(cell, supervisor)) == []
     assert starts(cell.plan()) == []
@@ -180,7 +180,7 @@
     (start,) = starts(cell.plan())
     cell.confirm(start)
     cell.state.cancel_job(progress, 0)
-    assert len(stops(cell.drain())) == 1
+    assert len(stops(cell.collect_actions())) == 1
     supervise(cell, supervisor)
     cell.now_ms += 700
     assert len(stops(supervise(cell, supervisor))) == 1
@@ -188,7 +188,7 @@
 
 def test_spare_work_slows_down_beside_a_task_above_its_target():
     # Guards against spare work that keeps a latency target broken.
-    cell = Cell.make(worker("w", 8))
+    cell = StepHarness.make(worker("w", 8))
     supervisor = Supervisor(cell.state, cell.planner)
     watch = Step(1, cores(2), long_running=True, latency_target_ms=50)
     cell.add(job("l", watch))
@@ -199,7 +199,7 @@
     for _ in range(4):
         cell.now_ms += 600
         running = (report(sent["l"], 100, figure=90), report(sent["s"], 10))
-        cell.listing("w", running=running)
+        cell.report_listing("w", running=running)
         actions = supervise(cell, supervisor)
         shares += [a.percent for a in actions if isinstance(a, PaceRun)]
         if stops(actions):
@@ -210,7 +210,7 @@
 
 def test_leaving_worker_keeps_what_would_be_lost():
     # Guards against throwing work away that may end before the worker leaves.
-    cell = Cell.make(worker("w"), limit=Resources())
+    cell = StepHarness.make(worker("w"), limit=Resources())
     supervisor = Supervisor(cell.state, cell.planner)
     cell.add(job("a"))
     cell.add(job("l", Step(1, cores(1), long_running=True)))
