--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -186,7 +186,7 @@
         await asyncio.sleep(PLAN_DELAY_MS / 1000)
         lead.plan_scheduled = False
         if self._lead is lead:
-            lead.planner.lines.register(self._version_by_member)
+            lead.planner.channels.set_instances(self._version_by_member)
             lead.planner.plan(self._clock.now_ms(), self._clock.unix_ms())
             self._perform(lead)
 
@@ -363,7 +363,7 @@
         self.spawn(self._store_changed_jobs(lead, writes, [], None, ()))
 
     async def _ask_advice(self, lead: Lead, action: AskAdvice) -> None:
-        lines, chosen = lead.planner.lines, action.instance_id
+        channels, chosen = lead.planner.channels, action.instance_id
         request = RequestAdvice(
             action.job_id, action.occurrence, action.step, action.worker_ids
         )
@@ -374,19 +374,19 @@
             if chosen == self._instance_id:
                 advice = await self._advisor.ask(request)
             else:
-                timeout_ms = lines.pending_ms(chosen) + ADVICE_MARGIN_MS
+                timeout_ms = channels.pending_ms(chosen) + ADVICE_MARGIN_MS
                 advice = await self._peers.ask(CallPeer(chosen, request, timeout_ms))
         except MarjoramgradeError as error:
             now_ms = self._clock.now_ms()
-            lines.avoid(chosen, now_ms - began_ms, now_ms)
+            channels.avoid(chosen, now_ms - began_ms, now_ms)
             is_asked = isinstance(error, AdvisorError)
             logs.state_change(
                 "advice_failed", job=action.job_id, by=chosen, code=error.code
             )
         else:
-            lines.answered(chosen)
+            channels.record_answer(chosen)
         finally:
-            lines.ended(chosen, action.decide_ms)
+            channels.ended(chosen, action.decide_ms)
         if self._lead is not lead:
             return
         now_ms = self._clock.now_ms()
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -10,7 +10,7 @@
 from marjoramgrade.controllers.commits import CommitController, SaveRows
 from marjoramgrade.controllers.inheritance import Inheritance, read_inheritance
 from marjoramgrade.controllers.lead import GRANT_LIMIT_MS, EndsCovered, Lead, LeadKeeper
-from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.stepsupervision import Supervisor
@@ -61,7 +61,7 @@
     async def _begin_lead(self, message: TakeLead) -> None:
         inheritance = await read_inheritance(self._store)
         state = StepState(message.epoch, self._config, self._evacuated)
-        planner = Planner(state, AdvisorLines(self._instance_id))
+        planner = Planner(state, AdvisorChannels(self._instance_id))
         check = RowCheck(EPOCH_ROW, message.row_version)
         versions = dict(inheritance.version_by_row)
         commits = CommitController(
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -206,7 +206,7 @@
             cpu_capacity=capacity,
             cpu_used=sum(worker.used.cpu_millis for worker in usable),
             cpu_spare_used=sum(worker.spare_used.cpu_millis for worker in usable),
-            advice_ms=lead.planner.lines.total_pending_ms,
+            advice_ms=lead.planner.channels.total_pending_ms,
         )
 
     def _purge(self, lead: Lead) -> None:
--- a/marjoramgrade/decisions/advisorlines.py
+++ b/marjoramgrade/decisions/advisorchannels.py
@@ -14,18 +14,18 @@
 LONG_CALL_MS = 150
 # Time that the calls of one line may take together, so that a call can still be
 # given to whichever step needs it most.
-MAX_LINE_MS = 300
+MAX_CHANNEL_BACKLOG_MS = 300
 # An instance that brought no advice is not asked again for this long, twice as long
 # each time. Right after a restart the next attempt is likely to succeed.
-FIRST_PAUSE_MS = 250
-MAX_PAUSE_MS = 4_000
+INITIAL_BACKOFF_MS = 250
+MAX_BACKOFF_MS = 4_000
 # A call that took this long to fail has met silence, which costs a step its time
 # each time that it is tried; a refused or broken connection fails sooner.
-SILENCE_MS = 500
+UNRESPONSIVE_CALL_MS = 500
 
 
 @attrs.define
-class AdvisorLines:
+class AdvisorChannels:
     """The calls on their way, by the instance that makes them.
 
     Attributes:
@@ -51,7 +51,7 @@
             return None
         chosen = min(usable, key=self.pending_ms)
         waiting_ms = self.pending_ms(chosen)
-        if waiting_ms and waiting_ms + decide_ms > MAX_LINE_MS:
+        if waiting_ms and waiting_ms + decide_ms > MAX_CHANNEL_BACKLOG_MS:
             return None
         return chosen
 
@@ -64,7 +64,7 @@
         """How long all calls take together."""
         return sum(self._pending_by_id.values())
 
-    def began(self, instance_id: str, decide_ms: int) -> None:
+    def record_call(self, instance_id: str, decide_ms: int) -> None:
         """Note a call."""
         self._pending_by_id[instance_id] = self.pending_ms(instance_id) + decide_ms
 
@@ -72,7 +72,7 @@
         """Note that a call was answered or given up."""
         self._pending_by_id[instance_id] -= decide_ms
 
-    def answered(self, instance_id: str) -> None:
+    def record_answer(self, instance_id: str) -> None:
         """Note that an instance brought advice."""
         self._pause_by_id.pop(instance_id, None)
 
@@ -84,13 +84,13 @@
             took_ms: How long its call took to fail.
             now_ms: The time.
         """
-        pause_ms = self._pause_by_id.get(instance_id, FIRST_PAUSE_MS)
-        if took_ms >= SILENCE_MS:
-            pause_ms = MAX_PAUSE_MS
+        pause_ms = self._pause_by_id.get(instance_id, INITIAL_BACKOFF_MS)
+        if took_ms >= UNRESPONSIVE_CALL_MS:
+            pause_ms = MAX_BACKOFF_MS
         self._avoided_until_by_id[instance_id] = now_ms + pause_ms
-        self._pause_by_id[instance_id] = min(2 * pause_ms, MAX_PAUSE_MS)
+        self._pause_by_id[instance_id] = min(2 * pause_ms, MAX_BACKOFF_MS)
 
-    def register(self, version_by_id: Mapping[str, int]) -> None:
+    def set_instances(self, version_by_id: Mapping[str, int]) -> None:
         """Take over the other instances.
 
         Args:
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepactions import AskAdvice
 from marjoramgrade.decisions.steporder import STEP_ORDERS, StepOrder, Waiting
 from marjoramgrade.decisions.stepplacement import choose_worker
@@ -29,12 +29,12 @@
     Attributes:
         state: Jobs and workers.
         order: In which order steps get room.
-        lines: Calls to the placement advisor.
+        channels: Calls to the placement advisor.
         waiting_by_reason: Steps that the last plan left waiting, by queue and reason.
     """
 
     state: StepState
-    lines: AdvisorLines
+    channels: AdvisorChannels
     order: StepOrder = STEP_ORDERS.get("worth")
     waiting_by_reason: Counter[str] = attrs.field(factory=Counter)
 
@@ -282,7 +282,7 @@
         book = step.tickets
         if advice is None or book.is_pending or now_ms < book.retry_ms:
             return
-        if self.lines.choose(math.ceil(advice.base_ms), now_ms) is None:
+        if self.channels.choose(math.ceil(advice.base_ms), now_ms) is None:
             # No line has time even for the shortest call.
             return
         need, spare = step.step.resources, step.step.uses_spare
@@ -299,10 +299,10 @@
         if not asked:
             return
         decide_ms = math.ceil(advice.base_ms + advice.per_worker_ms * len(asked))
-        instance_id = self.lines.choose(decide_ms, now_ms)
+        instance_id = self.channels.choose(decide_ms, now_ms)
         if instance_id is None:
             return
-        self.lines.began(instance_id, decide_ms)
+        self.channels.record_call(instance_id, decide_ms)
         book.is_pending = True
         job_id, occurrence, index = step.key
         self.state.add_action(
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepactions import StartRun, StepAction, StopRun
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import JobProgress
@@ -60,7 +60,7 @@
         team = TeamPolicy("red", weight=1_000.0, limit=limit or Resources())
         queues = (URGENT, REPORTS, ADVISED)
         state.config = StepConfig(1, {q.name: q for q in queues}, {}, {"red": team})
-        cell = cls(state, Planner(state, AdvisorLines("own", {"peer": 1})))
+        cell = cls(state, Planner(state, AdvisorChannels("own", {"peer": 1})))
         for worker in workers:
             state.add_worker(worker)
             cell.report_listing(worker.worker_id)
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -117,11 +117,11 @@
     cell = StepHarness.make(worker("w", 8))
     cell.add(job("a", queue=ADVISED), ADVISED)
     first = asked(cell.plan())
-    cell.planner.lines.ended(first[0].instance_id, first[0].decide_ms)
+    cell.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
     cell.planner.not_advised(first[0], is_asked=False, now_ms=cell.now_ms)
     again = asked(cell.plan())
     assert len(again) == 1
-    cell.planner.lines.ended(again[0].instance_id, again[0].decide_ms)
+    cell.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
     cell.planner.not_advised(again[0], is_asked=True, now_ms=cell.now_ms)
     assert not asked(cell.plan())
 
@@ -285,8 +285,8 @@
     cell = StepHarness.make(*(worker(f"w{index}", 8) for index in range(100)))
     progress = cell.add(job("a", Step(1, cores(16)), queue=ADVISED), ADVISED)
     give_tickets(cell, progress, "w1", "w2")
-    cell.planner.lines.began("own", 1_000)
-    cell.planner.lines.began("peer", 1_000)
+    cell.planner.channels.record_call("own", 1_000)
+    cell.planner.channels.record_call("peer", 1_000)
     looks = []
     accepts_work = WorkerState.accepts_work
     monkeypatch.setattr(
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -13,7 +13,7 @@
     rule,
 )
 
-from marjoramgrade.decisions.advisorlines import AdvisorLines
+from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepactions import StartRun, StopRun, SyncWorker
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepprogress import JobRecord
@@ -99,7 +99,7 @@
             1, {}, {}, {"red": TeamPolicy("red", weight=1e6, limit=LIMIT)}
         )
         self.state = StepState(self.epoch, config)
-        self.planner = Planner(self.state, AdvisorLines("own"))
+        self.planner = Planner(self.state, AdvisorChannels("own"))
         self.supervisor = Supervisor(self.state, self.planner)
         for worker_id in WORKER_IDS:
             self.state.add_worker(worker(worker_id, CPU))
