--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -368,7 +368,7 @@
             action.job_id, action.occurrence, action.step, action.worker_ids
         )
         advice: StepAdvice | None = None
-        is_asked = True
+        is_reached = True
         began_ms = self._clock.now_ms()
         try:
             if chosen == self._instance_id:
@@ -379,7 +379,7 @@
         except MarjoramgradeError as error:
             now_ms = self._clock.now_ms()
             channels.avoid(chosen, now_ms - began_ms, now_ms)
-            is_asked = isinstance(error, AdvisorError)
+            is_reached = isinstance(error, AdvisorError)
             logs.state_change(
                 "advice_failed", job=action.job_id, by=chosen, code=error.code
             )
@@ -391,8 +391,10 @@
             return
         now_ms = self._clock.now_ms()
         if advice is None:
-            lead.planner.not_advised(action, is_asked=is_asked, now_ms=now_ms)
+            lead.planner.record_advice_failure(
+                action, is_reached=is_reached, now_ms=now_ms
+            )
         else:
             text_by_worker = {w.worker_id: w.ticket for w in advice.workers}
-            lead.planner.advised(action, text_by_worker, now_ms + advice.valid_ms)
+            lead.planner.apply_advice(action, text_by_worker, now_ms + advice.valid_ms)
         self._schedule_plan(lead)
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -318,7 +318,7 @@
         )
         worker = lead.state.worker_by_id.get(message.worker_id)
         if message.reason == "ticket":
-            run.step.tickets.reject(message.worker_id)
+            run.step.tickets.discard_ticket(message.worker_id)
         elif worker is not None and worker.synced:
             # Whatever the worker has is not what this leader believes.
             worker.suspicion.mark_suspect(self._clock.now_ms())
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -16,10 +16,10 @@
 from marjoramgrade.decisions.stepprogress import JobProgress, StepProgress
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.stepworkers import WorkerState
-from marjoramgrade.decisions.tickets import Ticket, TicketBook
+from marjoramgrade.decisions.tickets import Ticket, TicketCache
 
 # Workers that one call for advice names at most; each costs time.
-MAX_ADVISED = 30
+MAX_WORKERS_PER_CALL = 30
 
 
 @attrs.define
@@ -56,7 +56,7 @@
             if entry.is_on_time(now_ms):
                 self._make_room(preemption, step, reason, now_ms)
 
-    def advised(
+    def apply_advice(
         self, asked: AskAdvice, text_by_worker: Mapping[str, str], until_ms: int
     ) -> None:
         """Take over the advisor's answer.
@@ -77,24 +77,26 @@
                 tickets[worker_id] = Ticket(text, born_unix_ms, until_ms)
         book.record(asked.worker_ids, tickets)
 
-    def not_advised(self, asked: AskAdvice, *, is_asked: bool, now_ms: int) -> None:
+    def record_advice_failure(
+        self, asked: AskAdvice, *, is_reached: bool, now_ms: int
+    ) -> None:
         """Note that no advice came.
 
         Args:
             asked: The question.
-            is_asked: Whether the advisor was reached; if not, the next plan asks
+            is_reached: Whether the advisor was reached; if not, the next plan asks
                 through another instance.
             now_ms: The time.
         """
         book = self._tickets_of(asked)
         if book is None:
             return
-        if is_asked:
+        if is_reached:
             book.failed(now_ms)
         else:
-            book.not_asked()
+            book.record_not_reached()
 
-    def _tickets_of(self, asked: AskAdvice) -> TicketBook | None:
+    def _tickets_of(self, asked: AskAdvice) -> TicketCache | None:
         progress = self.state.job_by_id.get(asked.job_id)
         steps = progress and progress.steps_by_occurrence.get(asked.occurrence)
         return steps[asked.step].tickets if steps else None
@@ -280,7 +282,7 @@
     def _ask_advice(self, step: StepProgress, now_ms: int) -> None:
         advice = step.job.queue.advice
         book = step.tickets
-        if advice is None or book.is_pending or now_ms < book.retry_ms:
+        if advice is None or book.is_pending or now_ms < book.next_call_ms:
             return
         if self.channels.choose(math.ceil(advice.base_ms), now_ms) is None:
             # No line has time even for the shortest call.
@@ -295,7 +297,9 @@
             and worker.has_capacity(need, uses_spare=spare)
         ]
         without.sort(key=lambda worker: -worker.free_cpu_millis)
-        asked = book.worth_asking(w.worker.worker_id for w in without)[:MAX_ADVISED]
+        asked = book.workers_to_ask(w.worker.worker_id for w in without)[
+            :MAX_WORKERS_PER_CALL
+        ]
         if not asked:
             return
         decide_ms = math.ceil(advice.base_ms + advice.per_worker_ms * len(asked))
--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -9,7 +9,7 @@
 import attrs
 
 from marjoramgrade.decisions.steprun import Run
-from marjoramgrade.decisions.tickets import TicketBook
+from marjoramgrade.decisions.tickets import TicketCache
 from marjoramgrade.stepconfig import Queue
 from marjoramgrade.stepjobs import Step, StepJob, StepJobState, TaskRef
 
@@ -61,7 +61,7 @@
     checkpoint_by_index: dict[int, str] = attrs.field(factory=dict)
     avoided_workers_by_index: dict[int, set[str]] = attrs.field(factory=dict)
     last_run_by_index: dict[int, int] = attrs.field(factory=dict)
-    tickets: TicketBook = attrs.field(factory=TicketBook)
+    tickets: TicketCache = attrs.field(factory=TicketCache)
     ready_ms: int | None = None
     done_count: int = 0
     rack_in_use: str = ""
--- a/marjoramgrade/decisions/tickets.py
+++ b/marjoramgrade/decisions/tickets.py
@@ -22,20 +22,20 @@
 
 
 @attrs.define
-class TicketBook:
+class TicketCache:
     """What the advisor has said of one step.
 
     Attributes:
         ticket_by_worker: The newest ticket of each worker that may run the step.
         asked_workers: Workers that the advisor has judged.
         is_pending: Whether a call is on its way.
-        retry_ms: Earliest time of the next call.
+        next_call_ms: Earliest time of the next call.
     """
 
     ticket_by_worker: dict[str, Ticket] = attrs.field(factory=dict)
     asked_workers: set[str] = attrs.field(factory=set)
     is_pending: bool = False
-    retry_ms: int = 0
+    next_call_ms: int = 0
 
     def ticket_for(
         self, worker_id: str, born_unix_ms: int, now_ms: int
@@ -53,7 +53,7 @@
             for ticket in self.ticket_by_worker.values()
         )
 
-    def worth_asking(self, worker_ids: Iterable[str]) -> list[str]:
+    def workers_to_ask(self, worker_ids: Iterable[str]) -> list[str]:
         """Return the workers to name in the next call.
 
         The judgement of a worker does not change, so those that were rejected are
@@ -78,13 +78,13 @@
     def failed(self, now_ms: int) -> None:
         """Note that a call brought no answer."""
         self.is_pending = False
-        self.retry_ms = now_ms + ADVICE_RETRY_MS
+        self.next_call_ms = now_ms + ADVICE_RETRY_MS
 
-    def reject(self, worker_id: str) -> None:
+    def discard_ticket(self, worker_id: str) -> None:
         """Forget a ticket that its worker refused; the advisor is asked again."""
         self.ticket_by_worker.pop(worker_id, None)
         self.asked_workers.discard(worker_id)
 
-    def not_asked(self) -> None:
+    def record_not_reached(self) -> None:
         """Note that a call did not reach the advisor; another may follow at once."""
         self.is_pending = False
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -118,11 +118,11 @@
     cell.add(job("a", queue=ADVISED), ADVISED)
     first = asked(cell.plan())
     cell.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
-    cell.planner.not_advised(first[0], is_asked=False, now_ms=cell.now_ms)
+    cell.planner.record_advice_failure(first[0], is_reached=False, now_ms=cell.now_ms)
     again = asked(cell.plan())
     assert len(again) == 1
     cell.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
-    cell.planner.not_advised(again[0], is_asked=True, now_ms=cell.now_ms)
+    cell.planner.record_advice_failure(again[0], is_reached=True, now_ms=cell.now_ms)
     assert not asked(cell.plan())
 
 
@@ -132,7 +132,7 @@
     cell.add(job("a", queue=ADVISED), ADVISED)
     question = asked(cell.plan())[0]
     until_ms = cell.now_ms + 2_000
-    cell.planner.advised(question, {"w": "t", "gone": "t"}, until_ms)
+    cell.planner.apply_advice(question, {"w": "t", "gone": "t"}, until_ms)
     assert [start.worker_id for start in starts(cell.plan())] == ["w"]
 
 
@@ -158,7 +158,7 @@
     give_tickets(cell, progress, "w")
     (start,) = starts(cell.plan())
     run = cell.state.start_refused("w", start.order.task, start.order.run)
-    run.step.tickets.reject("w")
+    run.step.tickets.discard_ticket("w")
     assert len(asked(cell.plan())) == 1
 
 
