--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -10,9 +10,9 @@
 
 from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepactions import AskAdvice
-from marjoramgrade.decisions.steporder import STEP_ORDERS, StepOrder, Waiting
 from marjoramgrade.decisions.stepplacement import choose_worker
 from marjoramgrade.decisions.steppreemption import Preemption
+from marjoramgrade.decisions.steppriority import STEP_ORDERS, StepOrder, WaitingStep
 from marjoramgrade.decisions.stepprogress import JobProgress, StepProgress
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.stepworkers import WorkerState
@@ -175,7 +175,7 @@
             step.job.job.team, need, self.state.config.team_by_name
         )
 
-    def _collect(self, now_ms: int, unix_ms: int) -> list[Waiting]:
+    def _collect(self, now_ms: int, unix_ms: int) -> list[WaitingStep]:
         return [
             self._describe(step, now_ms, unix_ms)
             for progress in self.state.open_job_by_id.values()
@@ -191,7 +191,7 @@
             if step.has_waiting:
                 yield step
 
-    def _describe(self, step: StepProgress, now_ms: int, unix_ms: int) -> Waiting:
+    def _describe(self, step: StepProgress, now_ms: int, unix_ms: int) -> WaitingStep:
         progress = step.job
         queue = progress.queue
         average_ms = self.state.durations.expected_ms(queue.name, step.step.estimate_ms)
@@ -204,7 +204,7 @@
             began_ms + queue.stretch * whole * average_ms + queue.objective_ms
         )
         remaining_ms = progress.chain_length(step.index) * average_ms
-        return Waiting(step, objective_ms, remaining_ms)
+        return WaitingStep(step, objective_ms, remaining_ms)
 
     def _make_room(
         self, preemption: Preemption, step: StepProgress, reason: str, now_ms: int
--- a/marjoramgrade/decisions/steporder.py
+++ b/marjoramgrade/decisions/steppriority.py
@@ -11,20 +11,20 @@
 
 # Worth of a core-second by the priority of the queue, most urgent first: short
 # urgent jobs earn about five times as much for each core-second as long reports.
-WORTH_BY_PRIORITY = (5.0, 2.0, 1.0)
+VALUE_BY_PRIORITY = (5.0, 2.0, 1.0)
 # What is left of the worth of a job that is late, and of one that is hopeless.
-LATE_SHARE = 0.2
-HOPELESS_SHARE = 0.01
+LATE_VALUE_SHARE = 0.2
+VERY_LATE_VALUE_SHARE = 0.01
 # Up to this multiple of its latency objective a job is late, then hopeless.
 LATE_MULTIPLE = 3
 # Work beyond a team's weight waits behind other work that can be in time, and goes
 # before late work: the limit of the team keeps it from others, and a team whose new
 # jobs wait until they are late serves nobody.
-BEYOND_WEIGHT_SHARE = 0.3
+BEYOND_WEIGHT_VALUE_SHARE = 0.3
 
 
 @attrs.frozen
-class Waiting:
+class WaitingStep:
     """A step that waits, and what its order depends on.
 
     Attributes:
@@ -42,15 +42,15 @@
         return now_ms + self.remaining_ms <= self.objective_ms
 
 
-StepOrder = Callable[[list[Waiting], int], list[Waiting]]
+StepOrder = Callable[[list[WaitingStep], int], list[WaitingStep]]
 STEP_ORDERS: Registry[StepOrder] = Registry("step order")
 
 
 @STEP_ORDERS.register("worth")
-def by_worth(waiting: list[Waiting], now_ms: int) -> list[Waiting]:
+def by_value(waiting: list[WaitingStep], now_ms: int) -> list[WaitingStep]:
     """Order by the worth that can still be earned, then by the slack that is left."""
 
-    def key(entry: Waiting) -> tuple[float, float]:
+    def key(entry: WaitingStep) -> tuple[float, float]:
         finish_ms = now_ms + entry.remaining_ms
         return (-_worth(entry, now_ms), entry.objective_ms - finish_ms)
 
@@ -58,17 +58,17 @@
 
 
 @STEP_ORDERS.register("fifo")
-def by_arrival(waiting: list[Waiting], now_ms: int) -> list[Waiting]:
+def by_arrival(waiting: list[WaitingStep], now_ms: int) -> list[WaitingStep]:
     """Order by arrival; the baseline that other orders are compared with."""
     return sorted(waiting, key=lambda entry: entry.step.job.accepted_ms)
 
 
-def _worth(entry: Waiting, now_ms: int) -> float:
+def _worth(entry: WaitingStep, now_ms: int) -> float:
     job = entry.step.job
-    priority = min(job.queue.priority, len(WORTH_BY_PRIORITY) - 1)
-    worth = WORTH_BY_PRIORITY[priority]
+    priority = min(job.queue.priority, len(VALUE_BY_PRIORITY) - 1)
+    worth = VALUE_BY_PRIORITY[priority]
     if job.beyond_weight:
-        worth *= BEYOND_WEIGHT_SHARE
+        worth *= BEYOND_WEIGHT_VALUE_SHARE
     if entry.step.step.long_running:
         return worth
     if entry.is_on_time(now_ms):
@@ -76,5 +76,5 @@
     finish_ms = now_ms + entry.remaining_ms
     allowed_ms = entry.objective_ms - job.accepted_ms
     if finish_ms <= job.accepted_ms + LATE_MULTIPLE * allowed_ms:
-        return worth * LATE_SHARE
-    return worth * HOPELESS_SHARE
+        return worth * LATE_VALUE_SHARE
+    return worth * VERY_LATE_VALUE_SHARE
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -5,8 +5,8 @@
 import attrs
 
 from marjoramgrade.decisions.stepactions import AskAdvice
-from marjoramgrade.decisions.steporder import STEP_ORDERS
 from marjoramgrade.decisions.stepplanning import Planner
+from marjoramgrade.decisions.steppriority import STEP_ORDERS
 from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.tickets import Ticket
 from marjoramgrade.resources import Resources
