--- a/marjoramgrade/decisions/stepplacement.py
+++ b/marjoramgrade/decisions/stepplacement.py
@@ -21,7 +21,7 @@
 
 
 @STEP_PLACEMENTS.register("spare")
-def fill(step: StepProgress, worker: WorkerState) -> tuple[float, ...]:
+def avoid_latency_bound(step: StepProgress, worker: WorkerState) -> tuple[float, ...]:
     """Prefer workers without latency-bound tasks, then those with most free time.
 
     Spare work slows the tail of latency-bound tasks beside it.
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -156,7 +156,7 @@
         bad = step.avoided_workers_by_index.get(index, set())
         return [w for w in fitting if w.worker.worker_id not in bad] or fitting
 
-    def place_one(
+    def place_task(
         self, step: StepProgress, index: int, permitted: list[WorkerState], now_ms: int
     ) -> bool:
         """Order the start of one task if a worker has room."""
@@ -168,7 +168,7 @@
         self.state.place(step, index, worker, run, now_ms)
         return True
 
-    def has_team_room(self, step: StepProgress, tasks: int = 1) -> bool:
+    def is_within_team_limit(self, step: StepProgress, tasks: int = 1) -> bool:
         """Whether the team's limit leaves room for more tasks of a step."""
         need = step.step.resources.scaled(tasks, 1)
         return self.state.usage.has_capacity(
@@ -210,21 +210,21 @@
         self, preemption: Preemption, step: StepProgress, reason: str, now_ms: int
     ) -> None:
         if reason == "team_limit":
-            preemption.make_team_room(step, now_ms)
+            preemption.free_team_capacity(step, now_ms)
         elif reason == "no_room":
-            preemption.make_worker_room(step, self.permitted(step, now_ms), now_ms)
+            preemption.free_worker_capacity(step, self.permitted(step, now_ms), now_ms)
 
     def _place_tasks(self, step: StepProgress, now_ms: int) -> str:
         """Start as many tasks as possible; returns why others wait, or empty."""
-        if not self.has_team_room(step):
+        if not self.is_within_team_limit(step):
             return "team_limit"
         permitted = self.permitted(step, now_ms)
         if not permitted:
             return "no_permitted_worker"
         for index in list(step.iter_waiting()):
-            if not self.has_team_room(step):
+            if not self.is_within_team_limit(step):
                 return "team_limit"
-            if not self.place_one(step, index, permitted, now_ms):
+            if not self.place_task(step, index, permitted, now_ms):
                 return "no_room"
         return ""
 
@@ -232,7 +232,7 @@
         """Start all tasks of a gang at once, or none; returns why it waits."""
         if step.runs_by_index:
             return "gang_ends"
-        if not self.has_team_room(step, step.step.count):
+        if not self.is_within_team_limit(step, step.step.count):
             return "team_limit"
         permitted = self.permitted(step, now_ms)
         if not permitted:
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -15,7 +15,7 @@
 from marjoramgrade.resources import NOTHING, Resources
 
 # An urgent step waits this long for room that becomes free by itself.
-PATIENCE_MS = 60
+PREEMPTION_DELAY_MS = 60
 # Most runs that make way for one step at a time.
 MAX_VICTIMS = 12
 
@@ -36,7 +36,7 @@
     _leaving_by_team: dict[str, Resources] = attrs.field(factory=dict)
     _victims_by_claim: dict[tuple[str, int], list[Run]] = attrs.field(factory=dict)
 
-    def make_team_room(self, step: StepProgress, now_ms: int) -> None:
+    def free_team_capacity(self, step: StepProgress, now_ms: int) -> None:
         """Stop less urgent runs of the same team until its limit leaves room."""
         if not self._is_due(step, now_ms):
             return
@@ -63,7 +63,7 @@
             missing = missing - run.step.step.resources
             self._stop(run, "makes_way_in_team")
 
-    def make_worker_room(
+    def free_worker_capacity(
         self, step: StepProgress, permitted: Iterable[WorkerState], now_ms: int
     ) -> None:
         """Stop less urgent runs on one worker, so that one task fits there."""
@@ -85,7 +85,7 @@
     def _is_due(self, step: StepProgress, now_ms: int) -> bool:
         if step.job.beyond_weight or step.ready_ms is None:
             return False
-        return now_ms - step.ready_ms >= PATIENCE_MS
+        return now_ms - step.ready_ms >= PREEMPTION_DELAY_MS
 
     def _victims_on(
         self, step: StepProgress, worker: WorkerState, now_ms: int
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -126,7 +126,7 @@
         if not is_silent or not step.step.speculative:
             return
         if len(step.runs_by_index.get(index, ())) < 2:
-            self.planner.place_one(
+            self.planner.place_task(
                 step, index, self.planner.permitted(step, now_ms), now_ms
             )
 
@@ -201,7 +201,7 @@
         worker.suspicion.mark_suspect(now_ms)
         has_copy = len(step.runs_by_index.get(index, ())) > 1
         if step.step.speculative and (
-            has_copy or self.planner.place_one(step, index, others, now_ms)
+            has_copy or self.planner.place_task(step, index, others, now_ms)
         ):
             return
         self.state.stop_run(run, reason)
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -245,7 +245,7 @@
     cell.confirm(start)
     step = progress.open_occurrence(0)[0]
     others = [w for w in cell.state.worker_by_id.values() if not w.run_by_task]
-    assert cell.planner.place_one(step, 0, others, cell.now_ms)
+    assert cell.planner.place_task(step, 0, others, cell.now_ms)
     (copy,) = starts(cell.collect_actions())
     cell.confirm(copy)
     cell.end(start, 1)
