--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -182,7 +182,7 @@
             if lead is None:
                 continue
             lead.supervisor.supervise(self._clock.now_ms())
-            lead.supervisor.forget_stops()
+            lead.supervisor.discard_finished_stops()
             self._schedule_plan(lead)
             self._perform(lead)
             self._purge(lead)
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -14,7 +14,7 @@
 # A stop that brought no end within this time is sent again.
 STOP_RETRY_MS = 600
 # A task that may have copies gets one when its worker is silent for this long.
-SILENT_MS = 200
+UNRESPONSIVE_MS = 200
 # A run without any progress for this long stands still, unless its tasks are long:
 # one percent of a long task takes longer.
 STALL_MS = 1_200
@@ -27,7 +27,7 @@
 # Spare work beside a task above its latency target is slowed by halves at this
 # interval, and let faster again in small steps once the target is kept.
 PACE_INTERVAL_MS = 500
-RELAX_INTERVAL_MS = 2_000
+PACE_RECOVERY_INTERVAL_MS = 2_000
 PACE_STEPS = (100, 40, 0)
 
 
@@ -82,7 +82,7 @@
             return since_ms is not None
         return False
 
-    def forget_stops(self) -> None:
+    def discard_finished_stops(self) -> None:
         """Drop what is known of stops that have taken effect."""
         present = {
             key
@@ -121,7 +121,7 @@
         step, index = run.step, run.task.index
         is_silent = (
             worker.unresponsive_since_ms
-            and now_ms - worker.unresponsive_since_ms >= SILENT_MS
+            and now_ms - worker.unresponsive_since_ms >= UNRESPONSIVE_MS
         )
         if not is_silent or not step.step.speculative:
             return
@@ -228,7 +228,7 @@
         last_ms = self._paced_ms.get(worker.worker.worker_id, 0)
         if too_slow and now_ms - last_ms >= PACE_INTERVAL_MS:
             self._change_pace(worker, spare, 1, now_ms)
-        elif not too_slow and now_ms - last_ms >= RELAX_INTERVAL_MS:
+        elif not too_slow and now_ms - last_ms >= PACE_RECOVERY_INTERVAL_MS:
             self._change_pace(worker, spare, -1, now_ms)
 
     def _change_pace(
