--- a/marjoramgrade/controllers/leaderprobe.py
+++ b/marjoramgrade/controllers/leaderprobe.py
@@ -9,7 +9,7 @@
 
 from marjoramgrade.actor import Actor
 from marjoramgrade.clock import Clock
-from marjoramgrade.decisions.leadwatch import LeaderRow
+from marjoramgrade.decisions.leadermonitor import LeaderRow
 from marjoramgrade.errors import MarjoramgradeError, OwnerUnreachableError
 from marjoramgrade.messages.peers import CallPeer
 from marjoramgrade.messages.steps import AskLeaderAge, LeaderAge
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -15,7 +15,11 @@
 from marjoramgrade.actor import Actor, Message, handles
 from marjoramgrade.clock import Clock
 from marjoramgrade.controllers.leaderprobe import LeaderProbe
-from marjoramgrade.decisions.leadwatch import HeardBeat, LeaderRow, LeadWatch
+from marjoramgrade.decisions.leadermonitor import (
+    LastHeartbeat,
+    LeaderMonitor,
+    LeaderRow,
+)
 from marjoramgrade.errors import (
     InvalidInputError,
     MarjoramgradeError,
@@ -120,7 +124,7 @@
         self._probe = LeaderProbe(peers, clock)
         self._subscribers = subscribers
         self._members: tuple[Member, ...] = ()
-        self._watch = LeadWatch()
+        self._watch = LeaderMonitor()
         self._leader = LeaderRow(0, "")
         # An instance that has just started has heard nobody.
         self._heard_ms = 0
@@ -303,10 +307,11 @@
             await self._begin(row.epoch, self._watch.row_version)
             return
         if row.leader_id and not is_own:
-            is_gone = row.epoch == self._ended_epoch or self._watch.is_gone(
-                self._heard(), now_ms
+            is_leader_down = (
+                row.epoch == self._ended_epoch
+                or self._watch.is_leader_down(self._heard(), now_ms)
             )
-            if not is_gone and not await self._is_unheard():
+            if not is_leader_down and not await self._is_unheard():
                 return
         await asyncio.sleep(self._rank() * RANK_DELAY_MS / 1000)
         if self._clock.now_ms() - self._heard_ms >= SILENCE_MS:
@@ -320,22 +325,24 @@
                 ReadRows(LEADERSHIP_TABLE, LEADER_PART)
             )
         except TableError:
-            self._watch.note_failure(self._clock.now_ms())
+            self._watch.record_read_failure(self._clock.now_ms())
             return False
         now_ms = self._clock.now_ms()
-        self._watch.reading_ms = now_ms - asked_ms
+        self._watch.read_duration_ms = now_ms - asked_ms
         found = {row.row: row for row in page.rows}
         self._note_epoch(found.get(EPOCH_ROW), now_ms)
         renewal = found.get(RENEWAL_ROW)
         if renewal is None:
-            self._watch.note_renewal(ABSENT, None, self._heard(), now_ms)
+            self._watch.record_renewal(ABSENT, None, self._heard(), now_ms)
         else:
             renewed_ms = int(renewal.value) if renewal.value.isdigit() else None
-            self._watch.note_renewal(renewal.version, renewed_ms, self._heard(), now_ms)
+            self._watch.record_renewal(
+                renewal.version, renewed_ms, self._heard(), now_ms
+            )
         return True
 
-    def _heard(self) -> HeardBeat:
-        return HeardBeat(self._leader, self._heard_ms, self._heard_clock_ms)
+    def _heard(self) -> LastHeartbeat:
+        return LastHeartbeat(self._leader, self._heard_ms, self._heard_clock_ms)
 
     def _note_epoch(self, row: StoredRow | None, now_ms: int) -> None:
         if row is None:
@@ -345,7 +352,7 @@
         except InvalidInputError as error:
             logs.state_change("row_unreadable", row="epoch", reason=error.message)
             leader = self._watch.row
-        self._watch.note_row(leader, row.version, now_ms)
+        self._watch.record_row(leader, row.version, now_ms)
 
     async def _is_unheard(self) -> bool:
         """Whether most instances have not heard the leader for long."""
--- a/marjoramgrade/decisions/leadwatch.py
+++ b/marjoramgrade/decisions/leadermonitor.py
@@ -12,7 +12,7 @@
 STALE_REFUSED_MS = 350
 # On a slow store a renewal takes about three times as long as the reading that looks
 # for it, and the next one is only sent after it.
-STALE_READINGS = 6
+STALE_READ_MULTIPLE = 6
 
 
 @attrs.frozen
@@ -29,52 +29,52 @@
 
 
 @attrs.frozen
-class HeardBeat:
+class LastHeartbeat:
     """The last beat of the leader that was heard.
 
     Attributes:
         leader: The leader.
-        at_ms: When it was heard, on this instance's clock; 0 if the leader has left or
-            was never heard.
+        received_ms: When it was heard, on this instance's clock; 0 if the leader has
+            left or was never heard.
         clock_ms: The leader's clock as the beat said, or 0.
     """
 
     leader: LeaderRow = LeaderRow(0, "")
-    at_ms: int = 0
+    received_ms: int = 0
     clock_ms: int = 0
 
 
 @attrs.define
-class LeadWatch:
+class LeaderMonitor:
     """What readings of the store have shown of the leader.
 
     Attributes:
         row: Who leads.
         row_version: Version of that row, 0 if there is none.
         renewal_version: Version of the row that the leader renews.
-        changed_ms: Since when both rows have stood still.
-        failed_ms: When the store could not be read last.
-        reading_ms: Duration of the last reading.
+        unchanged_since_ms: Since when both rows have stood still.
+        read_failed_ms: When the store could not be read last.
+        read_duration_ms: Duration of the last reading.
     """
 
     row: LeaderRow = LeaderRow(0, "")
     row_version: int = 0
     renewal_version: int = 0
-    changed_ms: int = 0
-    failed_ms: int = 0
-    reading_ms: int = 0
+    unchanged_since_ms: int = 0
+    read_failed_ms: int = 0
+    read_duration_ms: int = 0
 
-    def note_failure(self, now_ms: int) -> None:
+    def record_read_failure(self, now_ms: int) -> None:
         """Note that nothing could be seen; such time does not count as standstill."""
-        self.changed_ms = self.failed_ms = now_ms
+        self.unchanged_since_ms = self.read_failed_ms = now_ms
 
-    def note_row(self, row: LeaderRow, version: int, now_ms: int) -> None:
+    def record_row(self, row: LeaderRow, version: int, now_ms: int) -> None:
         """Note who leads."""
         if version != self.row_version:
-            self.row, self.row_version, self.changed_ms = row, version, now_ms
+            self.row, self.row_version, self.unchanged_since_ms = row, version, now_ms
 
-    def note_renewal(
-        self, version: int, renewed_ms: int | None, heard: HeardBeat, now_ms: int
+    def record_renewal(
+        self, version: int, renewed_ms: int | None, heard: LastHeartbeat, now_ms: int
     ) -> None:
         """Note the renewal.
 
@@ -90,13 +90,13 @@
         if version == self.renewal_version:
             return
         self.renewal_version = version
-        self.changed_ms = now_ms
-        is_of_leader = heard.leader == self.row and heard.at_ms and heard.clock_ms
+        self.unchanged_since_ms = now_ms
+        is_of_leader = heard.leader == self.row and heard.received_ms and heard.clock_ms
         if is_of_leader and renewed_ms is not None and renewed_ms <= heard.clock_ms:
-            self.changed_ms = max(heard.at_ms, self.failed_ms)
+            self.unchanged_since_ms = max(heard.received_ms, self.read_failed_ms)
 
-    def is_gone(self, heard: HeardBeat, now_ms: int) -> bool:
+    def is_leader_down(self, heard: LastHeartbeat, now_ms: int) -> bool:
         """Whether the leader has stood still for too long."""
-        limit_ms = STALE_MS if heard.at_ms else STALE_REFUSED_MS
-        limit_ms = max(limit_ms, STALE_READINGS * self.reading_ms)
-        return now_ms - self.changed_ms >= limit_ms
+        limit_ms = STALE_MS if heard.received_ms else STALE_REFUSED_MS
+        limit_ms = max(limit_ms, STALE_READ_MULTIPLE * self.read_duration_ms)
+        return now_ms - self.unchanged_since_ms >= limit_ms
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -8,7 +8,7 @@
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.controllers.leadership import LeadershipController
-from marjoramgrade.decisions.leadwatch import LeaderRow
+from marjoramgrade.decisions.leadermonitor import LeaderRow
 from marjoramgrade.errors import OwnerUnreachableError
 from marjoramgrade.messages.peers import (
     CallPeer,
