--- a/marjoramgrade/controllers/workerlink.py
+++ b/marjoramgrade/controllers/workerlink.py
@@ -79,7 +79,7 @@
         self._clock = clock
         self._hold_ms = hold_ms
         self._fence = fence
-        self._lease = WorkerLease(unheard_until_ms=expired_ms)
+        self._lease = WorkerLease(earliest_expiry_ms=expired_ms)
         self._acknowledged = 0
         self._born_unix_ms = 0
         self._last_end = 0
@@ -152,7 +152,7 @@
     async def _try_start(self, message: LinkStart) -> tuple[StartOutcome, str]:
         if not self._may_grant():
             return StartOutcome.REFUSED, "no_authority"
-        if not self._lease.heard_ms:
+        if not self._lease.clock_received_ms:
             return StartOutcome.REFUSED, "not_heard"
         try:
             clock_ms = await self._port.start(
@@ -170,7 +170,7 @@
                 reason=error.message,
             )
             return StartOutcome.UNKNOWN, error.code
-        self._lease.heard(clock_ms, self._clock.now_ms())
+        self._lease.record_clock(clock_ms, self._clock.now_ms())
         return StartOutcome.STARTED, ""
 
     async def _send_stop(self, message: LinkStop) -> None:
@@ -208,12 +208,14 @@
         While the worker does not answer, its lease is not extended: an order that
         is carried out late must not keep runs alive that count as lost.
         """
-        if not self._lease.heard_ms or self._failures or not self._may_grant():
-            return self._lease.granted_clock_ms
+        if not self._lease.clock_received_ms or self._failures or not self._may_grant():
+            return self._lease.granted_until_clock_ms
         now_ms = self._clock.now_ms()
         expiry = self._lease.earliest_clock_ms(now_ms) + self._hold_ms
-        self._lease.granted_clock_ms = max(self._lease.granted_clock_ms, expiry)
-        return self._lease.granted_clock_ms
+        self._lease.granted_until_clock_ms = max(
+            self._lease.granted_until_clock_ms, expiry
+        )
+        return self._lease.granted_until_clock_ms
 
     async def _keep_listing(self) -> None:
         while True:
@@ -228,7 +230,9 @@
         return ALERT_WAIT_MS if is_alert else LISTING_WAIT_MS
 
     def _is_settled(self) -> bool:
-        return bool(self._lease.heard_ms) and self._acknowledged >= self._last_end
+        return (
+            bool(self._lease.clock_received_ms) and self._acknowledged >= self._last_end
+        )
 
     async def _wait_for_acknowledgement(self) -> None:
         self._changed.clear()
@@ -269,7 +273,7 @@
             self._lease = WorkerLease()
         elif listing.born_unix_ms < self._born_unix_ms:
             return
-        self._lease.heard(listing.clock_ms, self._clock.now_ms())
+        self._lease.record_clock(listing.clock_ms, self._clock.now_ms())
         for end in listing.ended:
             self._last_end = max(self._last_end, end.number)
         if self._failures >= FAILURES_TO_SILENT:
--- a/tests/test_workerlease.py
+++ b/tests/test_workerlease.py
@@ -5,26 +5,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marjoramgrade.decisions.workerlease import CLOCK_SLOWNESS, WorkerLease
+from marjoramgrade.decisions.workerlease import MAX_CLOCK_DRIFT, WorkerLease
 
 
 @given(
     granted=st.integers(0, 10_000),
     elapsed=st.integers(0, 30_000),
-    speed=st.floats(1 - CLOCK_SLOWNESS, 1.0),
+    speed=st.floats(1 - MAX_CLOCK_DRIFT, 1.0),
 )
 def test_lease_never_counts_as_expired_too_early(granted, elapsed, speed):
     # Guards against a task that starts elsewhere while a slow clock still holds it.
     lease = WorkerLease()
-    lease.heard(1_000, 50)
-    lease.granted_clock_ms = 1_000 + granted
+    lease.record_clock(1_000, 50)
+    lease.granted_until_clock_ms = 1_000 + granted
     if lease.has_expired(50 + elapsed):
-        assert 1_000 + elapsed * speed >= lease.granted_clock_ms
+        assert 1_000 + elapsed * speed >= lease.granted_until_clock_ms
 
 
 def test_worker_that_was_never_heard_expires_by_our_clock():
     # Guards against runs of an earlier leader that count as gone at once.
-    lease = WorkerLease(unheard_until_ms=7_000)
+    lease = WorkerLease(earliest_expiry_ms=7_000)
     assert not lease.has_expired(6_999)
     assert lease.has_expired(7_000)
 
@@ -32,6 +32,6 @@
 def test_late_answer_does_not_turn_the_clock_back():
     # Guards against an older reading of the clock that arrives later.
     lease = WorkerLease()
-    lease.heard(2_000, 100)
-    lease.heard(1_500, 200)
-    assert (lease.clock_ms, lease.heard_ms) == (2_000, 100)
+    lease.record_clock(2_000, 100)
+    lease.record_clock(1_500, 200)
+    assert (lease.clock_ms, lease.clock_received_ms) == (2_000, 100)
