--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -76,5 +76,5 @@
     def _stop_job(self, job_id: str) -> None:
         scheduler = self.tasks.scheduler
         for running in scheduler.running.tasks_of_job(job_id):
-            if scheduler.running.stopping_of(running.task) is None:
+            if scheduler.running.stop_request_of(running.task) is None:
                 scheduler.stop(running.task, ZONE_OUT, is_requeued=True)
--- a/marjoramgrade/decisions/excess.py
+++ b/marjoramgrade/decisions/excess.py
@@ -5,14 +5,14 @@
 import itertools
 
 from marjoramgrade.decisions.grants import positive_part
-from marjoramgrade.decisions.running import RunningBook
+from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.model import Kind, Priority, TaskId
 from marjoramgrade.resources import NOTHING, Resources
 
 STOP_ORDER = (Kind.BATCH, Kind.GANG, Kind.SERVICE)
 
 
-def choose_excess(running: RunningBook, team: str, excess: Resources) -> list[TaskId]:
+def choose_excess(running: RunningTasks, team: str, excess: Resources) -> list[TaskId]:
     """Return the newest tasks of a team that free an amount, services last.
 
     Args:
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -8,7 +8,7 @@
 import attrs
 
 from marjoramgrade.decisions.placement import NOBODY
-from marjoramgrade.decisions.running import RunningBook
+from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.decisions.shares import ShareBook
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
@@ -34,7 +34,7 @@
 
     def choose(
         self,
-        running: RunningBook,
+        running: RunningTasks,
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
@@ -63,7 +63,7 @@
 
     def choose(
         self,
-        running: RunningBook,
+        running: RunningTasks,
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
@@ -84,7 +84,7 @@
 
     def choose(
         self,
-        running: RunningBook,
+        running: RunningTasks,
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
@@ -102,7 +102,9 @@
                 continue
             room = room_by_worker.get(worker_id)
             if room is None:
-                room = pool.yielded_room_of(worker_id) + running.ending_on(worker_id)
+                room = pool.yielded_room_of(worker_id) + running.stopping_resources_on(
+                    worker_id
+                )
             room = room_by_worker[worker_id] = room + task.resources
             victims = victims_by_worker.setdefault(worker_id, [])
             victims.append(task)
@@ -111,7 +113,7 @@
         return None
 
 
-def _iter_victims(running: RunningBook, shares: ShareBook) -> Iterator[RunningTask]:
+def _iter_victims(running: RunningTasks, shares: ShareBook) -> Iterator[RunningTask]:
     teams = sorted(running.teams(), key=lambda team: (-shares.level_of(team), team))
     for kind in VICTIM_ORDER:
         for team in teams:
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -9,7 +9,7 @@
 from marjoramgrade.decisions.gangs import GANG_WAIT_MS, place_gang, plan_reservation
 from marjoramgrade.decisions.preemption import Eviction
 from marjoramgrade.decisions.queues import TaskQueue
-from marjoramgrade.decisions.running import Stopping
+from marjoramgrade.decisions.running import StopRequest
 from marjoramgrade.decisions.shard_state import (
     ABOVE_SHARE,
     AT_LIMIT,
@@ -213,7 +213,7 @@
             entry.resources,
             entry.gang_size,
             entry.spread_racks,
-            self.state.running.services_on,
+            self.state.running.service_resources_on,
             self.state.health.avoided(self.now_ms),
         )
         if worker_ids is None:
@@ -235,7 +235,7 @@
                 break
             # Marked and held at once, so that the next member counts on neither.
             for victim in eviction.victims:
-                state.running.set_stopping(victim, Stopping(True, PREEMPTED))
+                state.running.record_stop_request(victim, StopRequest(True, PREEMPTED))
             state.pool.hold(eviction.worker_id, entry.resources)
             worker_ids.append(eviction.worker_id)
             victims.extend(eviction.victims)
@@ -244,7 +244,7 @@
         for worker_id in worker_ids:
             state.pool.unhold(worker_id, entry.resources)
         for victim in victims:
-            state.running.clear_stopping(victim)
+            state.running.clear_stop_request(victim)
         if len(worker_ids) < entry.gang_size:
             return None
         for victim in victims:
@@ -272,5 +272,5 @@
         )
 
     def _checkpoint(self, victim: RunningTask) -> None:
-        self.state.stop(victim, StopMode.CHECKPOINT, Stopping(True, PREEMPTED))
+        self.state.stop(victim, StopMode.CHECKPOINT, StopRequest(True, PREEMPTED))
         self.state.checkpoints.append((self.now_ms + CHECKPOINT_MS, victim))
--- a/marjoramgrade/decisions/running.py
+++ b/marjoramgrade/decisions/running.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Stopping:
+class StopRequest:
     """A task that was told to end.
 
     Attributes:
@@ -30,7 +30,7 @@
 GroupKey = tuple[str, Kind, Priority]
 
 
-class RunningBook:
+class RunningTasks:
     """Running tasks by job, by worker and by team, kind and priority."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         # Dictionaries keep the order of insertion, so that the newest task of a
         # group is found without a scan.
         self._tasks_by_group: dict[GroupKey, dict[TaskId, RunningTask]] = {}
-        self._stopping_by_task: dict[TaskId, Stopping] = {}
+        self._stopping_by_task: dict[TaskId, StopRequest] = {}
         self._stopping_by_worker: dict[str, Resources] = {}
         self._services_by_worker: dict[str, Resources] = {}
         self._length = 0
@@ -57,7 +57,7 @@
             _change(self._services_by_worker, running, 1)
         self._length += 1
 
-    def remove(self, running: RunningTask) -> Stopping | None:
+    def remove(self, running: RunningTask) -> StopRequest | None:
         """Remove a task and return what was asked of it, if it was told to end."""
         task = running.task
         _pop(self._tasks_by_job, task.job_id, task.index)
@@ -71,14 +71,14 @@
             _change(self._stopping_by_worker, running, -1)
         return stopping
 
-    def set_stopping(self, running: RunningTask, stopping: Stopping) -> None:
+    def record_stop_request(self, running: RunningTask, stopping: StopRequest) -> None:
         """Note that a running task was told to end."""
         if running.task not in self._stopping_by_task:
             _change(self._stopping_by_worker, running, 1)
         self._stopping_by_task[running.task] = stopping
 
-    def clear_stopping(self, running: RunningTask) -> None:
-        """Undo `set_stopping` for a task that was not told to end after all."""
+    def clear_stop_request(self, running: RunningTask) -> None:
+        """Undo `record_stop_request` for a task that was not told to end after all."""
         del self._stopping_by_task[running.task]
         _change(self._stopping_by_worker, running, -1)
 
@@ -86,7 +86,7 @@
         """Return a running task, or None."""
         return self._tasks_by_job.get(task.job_id, {}).get(task.index)
 
-    def stopping_of(self, task: TaskId) -> Stopping | None:
+    def stop_request_of(self, task: TaskId) -> StopRequest | None:
         """Return what was asked of a task that was told to end, or None."""
         return self._stopping_by_task.get(task)
 
@@ -111,11 +111,11 @@
             if running.task not in self._stopping_by_task:
                 yield running
 
-    def ending_on(self, worker_id: str) -> Resources:
+    def stopping_resources_on(self, worker_id: str) -> Resources:
         """Return what the tasks that were told to end will free on a worker."""
         return self._stopping_by_worker.get(worker_id, NOTHING)
 
-    def services_on(self, worker_id: str) -> Resources:
+    def service_resources_on(self, worker_id: str) -> Resources:
         """Return what services use on a worker; they do not end by themselves."""
         return self._services_by_worker.get(worker_id, NOTHING)
 
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -15,7 +15,7 @@
 )
 from marjoramgrade.decisions.queues import DuplicateTaskError
 from marjoramgrade.decisions.rounds import Round
-from marjoramgrade.decisions.running import RunningBook, Stopping
+from marjoramgrade.decisions.running import RunningTasks, StopRequest
 from marjoramgrade.decisions.shard_state import (
     AT_LIMIT,
     IN_QUEUE,
@@ -31,8 +31,10 @@
 
 __all__ = ["Decision", "Ending", "Scheduler", "StartTask", "StopMode", "StopTask"]
 
-CANCELLED = Stopping(is_requeued=False, reason="cancelled")
-GANG_BROKEN = Stopping(is_requeued=True, reason="stopped: a member of its gang ended")
+CANCELLED = StopRequest(is_requeued=False, reason="cancelled")
+GANG_BROKEN = StopRequest(
+    is_requeued=True, reason="stopped: a member of its gang ended"
+)
 REQUEUE_NOTE_BY_ENDING = {
     Ending.STOPPED: "requeued: stopped on its worker",
     Ending.REFUSED: "requeued: refused by its worker",
@@ -79,7 +81,7 @@
         return self._state.pool
 
     @property
-    def running(self) -> RunningBook:
+    def running(self) -> RunningTasks:
         """The running tasks; to be read only."""
         return self._state.running
 
@@ -180,7 +182,7 @@
         """
         running = self._state.running.find(task)
         if running is not None:
-            self._state.stop(running, StopMode.STOP, Stopping(is_requeued, reason))
+            self._state.stop(running, StopMode.STOP, StopRequest(is_requeued, reason))
         return running is not None
 
     def worker_added(self, node: WorkerNode) -> None:
@@ -280,7 +282,7 @@
         state = self._state
         running = state.running.find(task)
         if running is not None:
-            stopping = state.running.stopping_of(task)
+            stopping = state.running.stop_request_of(task)
             if stopping is not None:
                 return f"stopping on {running.worker_id}: {stopping.reason}"
             return f"placed on {running.worker_id}"
@@ -313,7 +315,7 @@
         self,
         running: RunningTask,
         ending: Ending,
-        stopping: Stopping | None,
+        stopping: StopRequest | None,
         now_ms: int,
     ) -> None:
         health, job_id = self._state.health, running.task.job_id
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -14,7 +14,7 @@
 from marjoramgrade.decisions.placement import PLACEMENTS, Placement
 from marjoramgrade.decisions.preemption import PREEMPTIONS, Preemption
 from marjoramgrade.decisions.queues import QUEUE_ORDERS, TaskQueue
-from marjoramgrade.decisions.running import RunningBook, Stopping
+from marjoramgrade.decisions.running import RunningTasks, StopRequest
 from marjoramgrade.decisions.shares import ShareBook
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
@@ -54,7 +54,7 @@
     ) -> None:
         self.pool = WorkerPool()
         self.shares = ShareBook()
-        self.running = RunningBook()
+        self.running = RunningTasks()
         self.health = WorkerHealth()
         self.claims = ClaimBook(self.pool)
         self.gangs = GangBook()
@@ -125,21 +125,21 @@
         if running.kind is Kind.GANG:
             self.gangs.note_start(running)
 
-    def leave_running(self, running: RunningTask) -> Stopping | None:
+    def leave_running(self, running: RunningTask) -> StopRequest | None:
         """Release the room of a task that has ended."""
         self.pool.release(running.worker_id, running.resources)
         self.shares.refund(running.team, running.resources)
         return self.running.remove(running)
 
-    def stop(self, running: RunningTask, mode: StopMode, stopping: Stopping) -> None:
+    def stop(self, running: RunningTask, mode: StopMode, stopping: StopRequest) -> None:
         """Tell a running task to end.
 
         A task that is to be dropped is never turned back into one to requeue.
         """
-        known = self.running.stopping_of(running.task)
+        known = self.running.stop_request_of(running.task)
         if known is not None and (stopping.is_requeued or not known.is_requeued):
             return
-        self.running.set_stopping(running, stopping)
+        self.running.record_stop_request(running, stopping)
         self.tell_stop(running, mode, stopping.reason)
 
     def tell_stop(self, running: RunningTask, mode: StopMode, reason: str) -> None:
--- a/tests/test_excess.py
+++ b/tests/test_excess.py
@@ -1,5 +1,5 @@
 from marjoramgrade.decisions.excess import choose_excess
-from marjoramgrade.decisions.running import RunningBook
+from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.model import Kind, Priority, TaskId
 from marjoramgrade.resources import Resources
@@ -15,7 +15,7 @@
 
 def test_a_lowered_limit_stops_the_newest_batch_tasks_first() -> None:
     """Guards against a service that is stopped while batch work goes on."""
-    book = RunningBook()
+    book = RunningTasks()
     for job_id, kind, started_ms in (
         ("old", Kind.BATCH, 1),
         ("watch", Kind.SERVICE, 2),
