--- a/bench/driver.py
+++ b/bench/driver.py
@@ -15,7 +15,7 @@
 
 from bench.cells import ZONES, Deployment, Work, WorkSource
 from marjoramgrade.clock import ManualClock
-from marjoramgrade.decisions.actions import Ending, StartTask, StopMode, StopTask
+from marjoramgrade.decisions.actions import EndStatus, StartTask, StopMode, StopTask
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.model import Kind, TaskId
@@ -37,7 +37,7 @@
     zone: int
     started_ms: int
     resources: Resources
-    ending: Ending = Ending.DONE
+    ending: EndStatus = EndStatus.DONE
     is_over: bool = False
 
 
@@ -119,7 +119,7 @@
         now_ms = self.clock.now_ms()
         total = self.ended
         for run in self._runs.values():
-            if run.ending is Ending.DONE:
+            if run.ending is EndStatus.DONE:
                 elapsed_ms = now_ms - run.started_ms
                 total = total + run.resources.scaled(elapsed_ms, 1_000)
         return total
@@ -178,7 +178,7 @@
         if decision.mode is StopMode.CHECKPOINT and is_deaf:
             return
         longest_ms = 3_000 if decision.mode is StopMode.CHECKPOINT else STOP_MS
-        stopped = attrs.evolve(run, ending=Ending.STOPPED)
+        stopped = attrs.evolve(run, ending=EndStatus.STOPPED)
         run.is_over = True
         self._runs[decision.task] = stopped
         self._at(now_ms + self.randomness.randint(50, longest_ms), stopped)
@@ -192,7 +192,7 @@
         began = time.process_time()
         scheduler.task_ended(run.task, run.ending, now_ms)
         self.cpu_s += time.process_time() - began
-        if run.ending is Ending.DONE:
+        if run.ending is EndStatus.DONE:
             ran_ms = now_ms - run.started_ms
             self.ended = self.ended + run.resources.scaled(ran_ms, 1_000)
         entry = scheduler.find_queued(run.task)
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.actions import Ending, StartTask
+from marjoramgrade.decisions.actions import EndStatus, StartTask
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.decisions.workers import WorkerNode
@@ -112,7 +112,7 @@
         for _ in range(tasks):
             self.running.rotate(-self.randomness.randrange(50))
             task = self.running.popleft()
-            self.scheduler.task_ended(task, Ending.DONE, self.now_ms)
+            self.scheduler.task_ended(task, EndStatus.DONE, self.now_ms)
 
     def time_decisions(self, count: int) -> list[float]:
         """Return the seconds of steps that each follow one end and one arrival."""
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.controllers.grantkeeper import GrantKeeper
 from marjoramgrade.controllers.outboxes import Outboxes
-from marjoramgrade.decisions.actions import Ending, StartTask
+from marjoramgrade.decisions.actions import EndStatus, StartTask
 from marjoramgrade.decisions.excess import choose_excess
 from marjoramgrade.decisions.outcomes import PendingOutcomes
 from marjoramgrade.decisions.retries import RETRY_POLICIES, RetryPolicy, TaskAttempts
@@ -49,9 +49,9 @@
 ABOVE_LIMIT = "team above its lowered limit"
 
 ENDING_BY_OUTCOME = {
-    "done": Ending.DONE,
-    "failed": Ending.FAILED,
-    "stopped": Ending.STOPPED,
+    "done": EndStatus.DONE,
+    "failed": EndStatus.FAILED,
+    "stopped": EndStatus.STOPPED,
 }
 
 
@@ -239,7 +239,7 @@
         for running in self.scheduler.running.tasks_of_worker(worker_id):
             if running.task not in reported:
                 # The start was lost with the previous connection.
-                self._end(running.task, Ending.REFUSED, now_ms)
+                self._end(running.task, EndStatus.REFUSED, now_ms)
         for run in message.running:
             self._adopt(worker_id, run, now_ms)
         self.reconciliation.confirm(worker_id)
@@ -307,8 +307,8 @@
             # The row shows the end already, or the job was moved after its end.
             self.outboxes.acknowledge(worker_id, end.task)
             return
-        ending = ENDING_BY_OUTCOME.get(end.outcome, Ending.FAILED)
-        if ending is Ending.DONE:
+        ending = ENDING_BY_OUTCOME.get(end.outcome, EndStatus.FAILED)
+        if ending is EndStatus.DONE:
             self.outcomes.record(end.task, Outcome.DONE, worker_id)
             self._stop_elsewhere(end.task, worker_id)
         elif stored.job.cancelled:
@@ -322,7 +322,7 @@
         """Queue tasks again that a worker did not start."""
         for task in message.tasks:
             if self._worker_of(task) == message.worker_id:
-                self._end(task, Ending.REFUSED, now_ms)
+                self._end(task, EndStatus.REFUSED, now_ms)
 
     def total_resources(self) -> Resources:
         """Return what the workers offer."""
@@ -350,11 +350,11 @@
         if place != worker_id:
             self.scheduler.cancel(task)
 
-    def _end(self, task: TaskId, ending: Ending, now_ms: int) -> None:
+    def _end(self, task: TaskId, ending: EndStatus, now_ms: int) -> None:
         stored = self.job_by_id.get(task.job_id)
         again = self.scheduler.task_ended(task, ending, now_ms)
         if stored is None or stored.job.cancelled:
-            if stored is not None and ending is not Ending.DONE:
+            if stored is not None and ending is not EndStatus.DONE:
                 self.outcomes.record(task, Outcome.CANCELLED)
             return
         if again is None:
--- a/marjoramgrade/decisions/actions.py
+++ b/marjoramgrade/decisions/actions.py
@@ -17,7 +17,7 @@
     STOP = "stop"
 
 
-class Ending(enum.Enum):
+class EndStatus(enum.Enum):
     """How a task ended, as far as the scheduler must know.
 
     `STOPPED` follows a stop or a checkpoint. `REFUSED` means that the worker did
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.decisions.actions import (
     Decision,
-    Ending,
+    EndStatus,
     StartTask,
     StopMode,
     StopTask,
@@ -29,16 +29,16 @@
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
-__all__ = ["Decision", "Ending", "Scheduler", "StartTask", "StopMode", "StopTask"]
+__all__ = ["Decision", "EndStatus", "Scheduler", "StartTask", "StopMode", "StopTask"]
 
 CANCELLED = StopRequest(is_requeued=False, reason="cancelled")
-GANG_BROKEN = StopRequest(
+GANG_MEMBER_ENDED = StopRequest(
     is_requeued=True, reason="stopped: a member of its gang ended"
 )
-REQUEUE_NOTE_BY_ENDING = {
-    Ending.STOPPED: "requeued: stopped on its worker",
-    Ending.REFUSED: "requeued: refused by its worker",
-    Ending.LOST: "requeued: worker lost",
+REQUEUE_REASON_BY_END_STATUS = {
+    EndStatus.STOPPED: "requeued: stopped on its worker",
+    EndStatus.REFUSED: "requeued: refused by its worker",
+    EndStatus.LOST: "requeued: worker lost",
 }
 
 
@@ -142,7 +142,7 @@
         Returns:
             Whether the task was known. A running task ends with a `StopTask`.
         """
-        self._state.note_by_task.pop(task, None)
+        self._state.requeue_reason_by_task.pop(task, None)
         if any(queue.cancel(task) for queue in self._state.queues):
             return True
         claim = self._state.claims.find(task)
@@ -204,7 +204,7 @@
         self._state.drop_claims_on(worker_id, now_ms)
         lost = self._state.running.tasks_of_worker(worker_id)
         for running in lost:
-            self.task_ended(running.task, Ending.LOST, now_ms)
+            self.task_ended(running.task, EndStatus.LOST, now_ms)
         self.pool.remove(worker_id)
         self.shares.set_total(self.pool.total_capacity)
         self._state.health.forget_worker(worker_id)
@@ -234,7 +234,7 @@
             self._state.gangs.note_adopted(running, entry.members if entry else ())
 
     def task_ended(
-        self, task: TaskId, ending: Ending, now_ms: int
+        self, task: TaskId, ending: EndStatus, now_ms: int
     ) -> QueuedTask | None:
         """Take note of a task that has ended on its worker.
 
@@ -251,8 +251,8 @@
         stopping = self._state.leave_running(running)
         self._note_health(running, ending, stopping, now_ms)
         is_dropped = stopping is not None and not stopping.is_requeued
-        is_again = ending is not Ending.DONE and not is_dropped
-        has_failed = ending is Ending.FAILED and stopping is None
+        is_again = ending is not EndStatus.DONE and not is_dropped
+        has_failed = ending is EndStatus.FAILED and stopping is None
         if running.kind is Kind.GANG:
             return self._member_ended(running, is_again, has_failed, now_ms)
         if not is_again:
@@ -260,7 +260,7 @@
         if has_failed:
             return _with_attempt(running.to_queued())
         note = f"requeued: {stopping.reason}" if stopping else ""
-        note = note or REQUEUE_NOTE_BY_ENDING[ending]
+        note = note or REQUEUE_REASON_BY_END_STATUS[ending]
         self._state.requeue(running.to_queued(), now_ms, note)
         return None
 
@@ -295,7 +295,7 @@
         if entry is None:
             return ""
         reason = state.queue_of(entry).reason_of(entry)
-        return reason or state.note_by_task.get(task, IN_QUEUE)
+        return reason or state.requeue_reason_by_task.get(task, IN_QUEUE)
 
     def _member_ended(
         self, running: RunningTask, is_again: bool, has_failed: bool, now_ms: int
@@ -303,7 +303,7 @@
         end = self._state.gangs.note_end(running, is_again, has_failed)
         if end.must_stop_others:
             for other in self._state.running.tasks_of_job(running.task.job_id):
-                self._state.stop(other, StopMode.STOP, GANG_BROKEN)
+                self._state.stop(other, StopMode.STOP, GANG_MEMBER_ENDED)
         if end.entry is None:
             return None
         if end.has_failed:
@@ -314,14 +314,14 @@
     def _note_health(
         self,
         running: RunningTask,
-        ending: Ending,
+        ending: EndStatus,
         stopping: StopRequest | None,
         now_ms: int,
     ) -> None:
         health, job_id = self._state.health, running.task.job_id
-        if ending is Ending.DONE:
+        if ending is EndStatus.DONE:
             health.note_success(running.worker_id, job_id, now_ms)
-        elif stopping is None and ending in (Ending.FAILED, Ending.REFUSED):
+        elif stopping is None and ending in (EndStatus.FAILED, EndStatus.REFUSED):
             health.note_failure(running.worker_id, job_id, now_ms)
         else:
             health.note_neutral_end(running.worker_id, now_ms)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -59,7 +59,7 @@
         self.claims = ClaimBook(self.pool)
         self.gangs = GangBook()
         self.may_start = may_start
-        self.note_by_task: dict[TaskId, str] = {}
+        self.requeue_reason_by_task: dict[TaskId, str] = {}
         self._pending_stops: list[tuple[RunningTask, StopTask]] = []
         self.checkpoints: deque[tuple[int, RunningTask]] = deque()
         self._queue_by_order: dict[str, TaskQueue] = {}
@@ -103,7 +103,7 @@
         """
         self.queue_of(entry).push(entry, now_ms, is_requeue=True)
         for task in entry.iter_tasks():
-            self.note_by_task[task] = note
+            self.requeue_reason_by_task[task] = note
 
     def start(
         self, entry: QueuedTask, worker_ids: Iterable[str], now_ms: int
@@ -119,7 +119,7 @@
 
     def enter_running(self, running: RunningTask) -> None:
         """Count a task, whose room is reserved, as running."""
-        self.note_by_task.pop(running.task, None)
+        self.requeue_reason_by_task.pop(running.task, None)
         self.running.add(running)
         self.shares.charge(running.team, running.resources)
         if running.kind is Kind.GANG:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-from marjoramgrade.decisions.actions import Ending
+from marjoramgrade.decisions.actions import EndStatus
 from marjoramgrade.decisions.gangs import GANG_WAIT_MS, place_gang, plan_reservation
 from marjoramgrade.decisions.placement import PLACEMENTS
 from marjoramgrade.model import TaskId
@@ -51,7 +51,7 @@
     # Two ends fall in each step, never four, so that all room is never free at once.
     for now_ms in range(0, 3 * GANG_WAIT_MS, 100):
         for _, name in running[:2]:
-            scheduler.task_ended(TaskId.parse(name), Ending.DONE, now_ms)
+            scheduler.task_ended(TaskId.parse(name), EndStatus.DONE, now_ms)
         del running[:2]
         names = started(scheduler.step(now_ms, 100))
         if "gang/0" in names:
@@ -72,9 +72,9 @@
     stops = {d.task for d in scheduler.step(1, 10)}
     assert stops == set(others)
     scheduler.worker_added(node("w-2", cores=1))
-    scheduler.task_ended(others[0], Ending.STOPPED, 2)
+    scheduler.task_ended(others[0], EndStatus.STOPPED, 2)
     assert scheduler.step(2, 10) == []
-    scheduler.task_ended(others[1], Ending.DONE, 3)
+    scheduler.task_ended(others[1], EndStatus.DONE, 3)
     again = started(scheduler.step(3, 10))
     assert set(again) == {str(lost[0]), str(others[0])}
 
@@ -86,5 +86,5 @@
     placed = started(scheduler.step(0, 10))
     scheduler.worker_lost(placed["gang/0"], 1)
     assert scheduler.cancel_job("gang") == 2
-    scheduler.task_ended(TaskId("gang", 1), Ending.STOPPED, 2)
+    scheduler.task_ended(TaskId("gang", 1), EndStatus.STOPPED, 2)
     assert scheduler.queued_count == scheduler.running_count == 0
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,6 +1,6 @@
 import random
 
-from marjoramgrade.decisions.actions import Ending
+from marjoramgrade.decisions.actions import EndStatus
 from marjoramgrade.decisions.health import BACKOFF_BASE_MS, SUSPECT_AFTER, WorkerHealth
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.model import TaskId
@@ -23,7 +23,7 @@
         for name, worker_id in started(scheduler.step(now_ms, 100)).items():
             times[worker_id].append(now_ms)
             fails = worker_id == bad or name.startswith(faulty_job)
-            ending = Ending.FAILED if fails else Ending.DONE
+            ending = EndStatus.FAILED if fails else EndStatus.DONE
             scheduler.task_ended(TaskId.parse(name), ending, now_ms)
     return times
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-from marjoramgrade.decisions.actions import Ending
+from marjoramgrade.decisions.actions import EndStatus
 from marjoramgrade.decisions.rounds import CHECKPOINT_MS, URGENT_WAIT_MS
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.model import Kind, TaskId
@@ -65,15 +65,15 @@
     scheduler = scheduler_of(node("w-0", cores=2))
     fill(scheduler, *(queued("a", index, "a") for index in range(9)))
     assert len(victims_of(scheduler, team="c", cores=2)) == 2
-    scheduler.task_ended(TaskId("a", 0), Ending.STOPPED, 1_200)
+    scheduler.task_ended(TaskId("a", 0), EndStatus.STOPPED, 1_200)
     assert scheduler.step(1_200, 10) == []
-    scheduler.task_ended(TaskId("a", 1), Ending.STOPPED, 1_300)
+    scheduler.task_ended(TaskId("a", 1), EndStatus.STOPPED, 1_300)
     assert started(scheduler.step(1_300, 10)) == {"urgent/0": "w-0"}
     reason = scheduler.reason_of(TaskId("a", 0))
     assert reason == "waiting: no worker has room"
-    scheduler.task_ended(URGENT, Ending.DONE, 1_400)
+    scheduler.task_ended(URGENT, EndStatus.DONE, 1_400)
     assert set(started(scheduler.step(1_400, 10))) == {"a/0", "a/1"}
-    entry = scheduler.task_ended(TaskId("a", 0), Ending.FAILED, 1_500)
+    entry = scheduler.task_ended(TaskId("a", 0), EndStatus.FAILED, 1_500)
     assert entry is not None
     assert entry.attempts == 1
 
@@ -96,7 +96,7 @@
     scheduler.submit(queued("b", 0, "b", cores=3), 10)
     assert scheduler.step(10, 10) == []
     assert scheduler.reason_of(TaskId("b", 0)).startswith("waiting: room is kept")
-    scheduler.task_ended(TaskId("a", 0), Ending.DONE, 11)
+    scheduler.task_ended(TaskId("a", 0), EndStatus.DONE, 11)
     scheduler.submit(queued("urgent", team="c", urgent=True), 11)
     assert started(scheduler.step(11, 10)) == {"urgent/0": "w-0"}
     assert scheduler.reason_of(TaskId("b", 0)).startswith("waiting: room is kept")
@@ -108,7 +108,7 @@
     fill(scheduler, queued("a", 0, "a"), queued("a", 1, "a"))
     (victim,) = victims_of(scheduler, team="c")
     other = TaskId("a", 1 - int(victim[-1]))
-    scheduler.task_ended(other, Ending.DONE, 1_200)
+    scheduler.task_ended(other, EndStatus.DONE, 1_200)
     assert list(started(scheduler.step(1_200, 10))) == ["urgent/0"]
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,6 +1,6 @@
 import pytest
 
-from marjoramgrade.decisions.actions import Ending
+from marjoramgrade.decisions.actions import EndStatus
 from marjoramgrade.decisions.queues import DuplicateTaskError
 from marjoramgrade.decisions.rounds import TASK_WAIT_MS
 from marjoramgrade.decisions.scheduler import Scheduler
@@ -19,7 +19,7 @@
     assert scheduler.step(1, 10) == []
     assert scheduler.reason_of(TaskId("j", 0)) == "placed on w-0"
     assert scheduler.reason_of(TaskId("j", 1)) == "waiting: no worker has room"
-    scheduler.task_ended(TaskId("j", 0), Ending.DONE, 2)
+    scheduler.task_ended(TaskId("j", 0), EndStatus.DONE, 2)
     assert started(scheduler.step(2, 10)) == {"j/1": "w-0"}
 
 
@@ -49,7 +49,7 @@
     assert scheduler.reason_of(TaskId("j", 0)) == "requeued: worker lost"
     scheduler.worker_added(node("w-1"))
     assert started(scheduler.step(2, 10)) == {"j/0": "w-1"}
-    entry = scheduler.task_ended(TaskId("j", 0), Ending.FAILED, 3)
+    entry = scheduler.task_ended(TaskId("j", 0), EndStatus.FAILED, 3)
     assert entry is not None
     assert entry.attempts == 1
 
@@ -70,7 +70,7 @@
     scheduler.step(0, 10)
     assert scheduler.cancel_job("j") == 3
     assert stopped(scheduler.step(1, 10)) == {"j/0": "stop"}
-    assert scheduler.task_ended(TaskId("j", 0), Ending.STOPPED, 2) is None
+    assert scheduler.task_ended(TaskId("j", 0), EndStatus.STOPPED, 2) is None
     assert scheduler.step(3, 10) == []
     assert scheduler.queued_count == scheduler.running_count == 0
 
@@ -91,7 +91,7 @@
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
     scheduler.stop(TaskId("j", 0), "team above its limit", is_requeued=True)
-    scheduler.task_ended(TaskId("j", 0), Ending.STOPPED, 1)
+    scheduler.task_ended(TaskId("j", 0), EndStatus.STOPPED, 1)
     decisions = scheduler.step(1, 10)
     assert stopped(decisions) == {}
     assert started(decisions) == {"j/0": "w-0"}
@@ -133,7 +133,7 @@
     scheduler.step(1_000, 10)
     scheduler.worker_added(node("w-1", cores=1))
     scheduler.adopt(RunningTask.from_queued(entry, entry.task, "w-1", 900))
-    scheduler.task_ended(TaskId("a", 0), Ending.DONE, 1_100)
+    scheduler.task_ended(TaskId("a", 0), EndStatus.DONE, 1_100)
     assert scheduler.step(1_100, 10) == []
     assert scheduler.queued_count == 0
 
@@ -159,7 +159,7 @@
     scheduler.step(1, 10)
     for index in range(4):
         assert scheduler.reason_of(TaskId("large", 0)).startswith("waiting: room is")
-        scheduler.task_ended(TaskId("small", index), Ending.DONE, 2 + index)
+        scheduler.task_ended(TaskId("small", index), EndStatus.DONE, 2 + index)
         names = started(scheduler.step(2 + index, 10))
     assert names == {"large/0": "w-0"}
 
@@ -186,7 +186,7 @@
     scheduler.submit(queued("large", team="b", cores=2), 0)
     scheduler.step(1, 10)
     for name in placed:
-        scheduler.task_ended(TaskId.parse(name), Ending.DONE, 2)
+        scheduler.task_ended(TaskId.parse(name), EndStatus.DONE, 2)
         if names := started(scheduler.step(2, 10)):
             assert "large/0" in names
             return
@@ -204,10 +204,10 @@
     scheduler.submit(queued("c", team="c", at_ms=1), 1)
     assert stopped(scheduler.step(1_000, 10)) == {"a/0": "checkpoint"}
     scheduler.set_blocked_team("b")
-    scheduler.task_ended(TaskId("a", 0), Ending.DONE, 1_100)
+    scheduler.task_ended(TaskId("a", 0), EndStatus.DONE, 1_100)
     assert started(scheduler.step(1_100, 10)) == {"c/0": "w-0"}
     waiting = scheduler.reason_of(TaskId("urgent", 0))
     assert waiting == "waiting: team at its upper limit"
     scheduler.set_blocked_team("b", "")
-    scheduler.task_ended(TaskId("c", 0), Ending.DONE, 1_200)
+    scheduler.task_ended(TaskId("c", 0), EndStatus.DONE, 1_200)
     assert started(scheduler.step(1_200, 10)) == {"urgent/0": "w-0"}
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from marjoramgrade.decisions.actions import Ending, StartTask, StopTask
+from marjoramgrade.decisions.actions import EndStatus, StartTask, StopTask
 from marjoramgrade.model import Kind, TaskId
 from marjoramgrade.resources import NOTHING, Resources
 from tests.scheduling import amount, node, queued, scheduler_of
@@ -114,9 +114,9 @@
         for job, indices in gangs.items():
             assert indices == self.gang_by_job[job]
 
-    @rule(choice=pick, ending=st.sampled_from(Ending))
-    def end_task(self, choice: int, ending: Ending) -> None:
-        if not self.placed or ending is Ending.LOST:
+    @rule(choice=pick, ending=st.sampled_from(EndStatus))
+    def end_task(self, choice: int, ending: EndStatus) -> None:
+        if not self.placed or ending is EndStatus.LOST:
             return
         self.end(sorted(self.placed)[choice % len(self.placed)], ending)
 
@@ -125,14 +125,14 @@
         """Let work wait long enough to claim room, and free some of it."""
         self.step(12_000, 9)
         for task in sorted(self.told_to_stop):
-            self.end(task, Ending.STOPPED)
+            self.end(task, EndStatus.STOPPED)
         for task in sorted(self.placed)[:ends]:
-            self.end(task, Ending.DONE)
+            self.end(task, EndStatus.DONE)
         self.step(0, 9)
 
-    def end(self, task: TaskId, ending: Ending) -> None:
+    def end(self, task: TaskId, ending: EndStatus) -> None:
         failed = self.scheduler.task_ended(task, ending, self.now_ms)
-        is_final = ending is Ending.DONE or task in self.dropped
+        is_final = ending is EndStatus.DONE or task in self.dropped
         self.leave(task, is_final)
         if failed is not None:
             self.scheduler.submit(failed, self.now_ms)
