--- a/bench/driver.py
+++ b/bench/driver.py
@@ -79,7 +79,7 @@
             scheduler = Scheduler.from_config(policies_by_kind)
             scheduler.set_teams(self.deployment.teams)
             for node in self.deployment.nodes_of(zone):
-                scheduler.worker_added(node)
+                scheduler.add_worker(node)
             self.schedulers.append(scheduler)
 
     def submit(self, work: Work, zone: int) -> None:
@@ -103,9 +103,9 @@
                 else:
                     self._stop(decision, now_ms)
 
-    def queued_of(self, zone: int, team: str) -> int:
+    def queued_count_of(self, zone: int, team: str) -> int:
         """Return the number of queued tasks of a team in a zone."""
-        return self.schedulers[zone].queued_of(team)
+        return self.schedulers[zone].queued_count_of(team)
 
     def use_of(self, team: str) -> Resources:
         """Return what a team uses in all zones."""
@@ -130,7 +130,7 @@
         self.zones_out.add(zone)
         scheduler = self.schedulers[zone]
         for node in self.deployment.nodes_of(zone):
-            scheduler.worker_draining(node.worker_id, now_ms)
+            scheduler.drain_worker(node.worker_id, now_ms)
         self.move_queue(zone)
 
     def move_queue(self, zone: int) -> None:
@@ -151,7 +151,7 @@
         """Let work start in a zone again."""
         self.zones_out.discard(zone)
         for node in self.deployment.nodes_of(zone):
-            self.schedulers[zone].worker_added(node)
+            self.schedulers[zone].add_worker(node)
 
     def _submit_entry(self, entry: QueuedTask, zone: int) -> None:
         began = time.process_time()
@@ -212,5 +212,5 @@
         if zone in cell.zones_out:
             continue
         for team in cell.deployment.teams:
-            while cell.queued_of(zone, team.name) < tasks:
+            while cell.queued_count_of(zone, team.name) < tasks:
                 cell.submit(source.draw(team.name, now_ms), zone)
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -70,7 +70,7 @@
             accelerators = 4 if number % 3 == 0 else 0
             capacity = Resources(64_000, 128 * 1024, accelerators)
             node = WorkerNode(f"w-{number}", f"r-{number // 8}", capacity)
-            load.scheduler.worker_added(node)
+            load.scheduler.add_worker(node)
         load.fill(int(workers * TASKS_PER_WORKER))
         return load
 
@@ -227,7 +227,7 @@
     def add_workers() -> None:
         for each in range(number, number + 1_000):
             capacity = Resources(64_000, 128 * 1024)
-            load.scheduler.worker_added(WorkerNode(f"w-{each}", "r", capacity))
+            load.scheduler.add_worker(WorkerNode(f"w-{each}", "r", capacity))
 
     def add_teams() -> None:
         load.scheduler.set_teams([Team(f"t-{each}") for each in range(1_000 + TEAMS)])
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -251,14 +251,14 @@
             return
         if worker_id not in self.scheduler.pool:
             node = WorkerNode(worker_id, worker.rack, worker.capacity)
-            self.scheduler.worker_added(node)
+            self.scheduler.add_worker(node)
         if worker.leaving:
-            self.scheduler.worker_draining(worker_id, now_ms)
+            self.scheduler.drain_worker(worker_id, now_ms)
 
     def worker_leaving(self, worker_id: str, now_ms: int) -> None:
         """Start nothing more on a worker."""
         if worker_id in self.scheduler.pool:
-            self.scheduler.worker_draining(worker_id, now_ms)
+            self.scheduler.drain_worker(worker_id, now_ms)
 
     def expire_workers(self, now_ms: int) -> None:
         """Requeue the tasks of workers whose lease has lapsed."""
@@ -297,7 +297,7 @@
 
     def stop_tasks(self) -> None:
         """Send the stops that are due; a stop needs no authority to start."""
-        for stop in self.scheduler.take_stops():
+        for stop in self.scheduler.pop_stops():
             self.outboxes.stop(stop.worker_id, stop.task)
 
     def task_ended(self, worker_id: str, end: TaskEnd, now_ms: int) -> None:
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -73,7 +73,7 @@
             self._start_claims(priority)
             for queue in self.state.queues:
                 self._start_queued(queue, priority)
-        return [*self.state.take_stops(), *self._starts]
+        return [*self.state.pop_stops(), *self._starts]
 
     def _escalate_checkpoints(self) -> None:
         """Stop tasks whose checkpoint takes too long."""
@@ -81,7 +81,7 @@
         while checkpoints and checkpoints[0][0] <= self.now_ms:
             running = checkpoints.popleft()[1]
             if self.state.running.find(running.task) is running:
-                self.state.tell_stop(running, StopMode.STOP, PREEMPTED)
+                self.state.enqueue_stop(running, StopMode.STOP, PREEMPTED)
 
     def _start_claims(self, priority: Priority) -> None:
         for claim in self.state.claims:
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -101,7 +101,7 @@
         claimed = sum(claim.entry.gang_size for claim in self._state.claims)
         return claimed + sum(len(queue) for queue in self._state.queues)
 
-    def queued_of(self, team: str) -> int:
+    def queued_count_of(self, team: str) -> int:
         """Return the number of queued tasks of a team."""
         return sum(queue.length_of(team) for queue in self._state.queues)
 
@@ -132,7 +132,7 @@
             OverloadedError: If the queue bound of its team would be exceeded.
         """
         for task in entry.iter_tasks():
-            if self._state.is_started(task):
+            if self._state.has_left_queue(task):
                 raise DuplicateTaskError(f"{task} is running or about to start")
         self._state.queue_of(entry).push(entry, now_ms)
 
@@ -185,12 +185,12 @@
             self._state.stop(running, StopMode.STOP, StopRequest(is_requeued, reason))
         return running is not None
 
-    def worker_added(self, node: WorkerNode) -> None:
+    def add_worker(self, node: WorkerNode) -> None:
         """Take a worker into the shard, or take it back after a drain."""
         self.pool.add(node)
         self.shares.set_total(self.pool.total_capacity)
 
-    def worker_draining(self, worker_id: str, now_ms: int) -> None:
+    def drain_worker(self, worker_id: str, now_ms: int) -> None:
         """Start nothing more on a worker; its tasks go on."""
         self.pool.drain(worker_id)
         self._state.drop_claims_on(worker_id, now_ms)
@@ -229,7 +229,7 @@
         entry = self._state.find_queued(running.task)
         if entry is not None:
             self._state.queue_of(entry).cancel(running.task)
-        self._state.enter_running(running)
+        self._state.add_running(running)
         if running.kind is Kind.GANG:
             self._state.gangs.note_adopted(running, entry.members if entry else ())
 
@@ -248,7 +248,7 @@
         running = self._state.running.find(task)
         if running is None:
             return None
-        stopping = self._state.leave_running(running)
+        stopping = self._state.remove_running(running)
         self._note_health(running, ending, stopping, now_ms)
         is_dropped = stopping is not None and not stopping.is_requeued
         is_again = ending is not EndStatus.DONE and not is_dropped
@@ -273,9 +273,9 @@
         """
         return Round(self._state, now_ms, budget).run()
 
-    def take_stops(self) -> list[StopTask]:
+    def pop_stops(self) -> list[StopTask]:
         """Return the stops that are due, also while nothing may start."""
-        return self._state.take_stops()
+        return self._state.pop_stops()
 
     def reason_of(self, task: TaskId) -> str:
         """Return, for operators, why a task is where it is; empty if unknown."""
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -85,7 +85,7 @@
                 return entry
         return None
 
-    def is_started(self, task: TaskId) -> bool:
+    def has_left_queue(self, task: TaskId) -> bool:
         """Return whether a task runs, is about to, or waits for its gang to end."""
         return (
             self.running.find(task) is not None
@@ -112,12 +112,12 @@
         starts = []
         for task, worker_id in zip(entry.iter_tasks(), worker_ids, strict=True):
             self.pool.reserve(worker_id, entry.resources)
-            self.enter_running(RunningTask.from_queued(entry, task, worker_id, now_ms))
+            self.add_running(RunningTask.from_queued(entry, task, worker_id, now_ms))
             self.health.note_start(worker_id, now_ms)
             starts.append(StartTask(task, worker_id, entry.resources))
         return starts
 
-    def enter_running(self, running: RunningTask) -> None:
+    def add_running(self, running: RunningTask) -> None:
         """Count a task, whose room is reserved, as running."""
         self.requeue_reason_by_task.pop(running.task, None)
         self.running.add(running)
@@ -125,7 +125,7 @@
         if running.kind is Kind.GANG:
             self.gangs.note_start(running)
 
-    def leave_running(self, running: RunningTask) -> StopRequest | None:
+    def remove_running(self, running: RunningTask) -> StopRequest | None:
         """Release the room of a task that has ended."""
         self.pool.release(running.worker_id, running.resources)
         self.shares.refund(running.team, running.resources)
@@ -140,14 +140,14 @@
         if known is not None and (stopping.is_requeued or not known.is_requeued):
             return
         self.running.record_stop_request(running, stopping)
-        self.tell_stop(running, mode, stopping.reason)
+        self.enqueue_stop(running, mode, stopping.reason)
 
-    def tell_stop(self, running: RunningTask, mode: StopMode, reason: str) -> None:
+    def enqueue_stop(self, running: RunningTask, mode: StopMode, reason: str) -> None:
         """Let the next decisions contain a stop."""
         stop = StopTask(running.task, running.worker_id, mode, reason)
         self._pending_stops.append((running, stop))
 
-    def take_stops(self) -> list[StopTask]:
+    def pop_stops(self) -> list[StopTask]:
         """Return the stops that were not returned yet.
 
         A task may end before its stop is sent and even run again elsewhere, so only
--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -54,7 +54,7 @@
 def scheduler_of(*nodes: WorkerNode, **policies: str) -> Scheduler:
     scheduler = Scheduler.from_config({kind: Policies(**policies) for kind in Kind})
     for each in nodes:
-        scheduler.worker_added(each)
+        scheduler.add_worker(each)
     return scheduler
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -71,7 +71,7 @@
     others = [TaskId.parse(n) for n, w in placed.items() if w == "w-1"]
     stops = {d.task for d in scheduler.step(1, 10)}
     assert stops == set(others)
-    scheduler.worker_added(node("w-2", cores=1))
+    scheduler.add_worker(node("w-2", cores=1))
     scheduler.task_ended(others[0], EndStatus.STOPPED, 2)
     assert scheduler.step(2, 10) == []
     scheduler.task_ended(others[1], EndStatus.DONE, 3)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -135,5 +135,5 @@
     fill(scheduler, queued("a", 0, "a"))
     victims_of(scheduler, team="c")
     scheduler.worker_lost("w-0", 2_000)
-    scheduler.worker_added(node("w-1", cores=1))
+    scheduler.add_worker(node("w-1", cores=1))
     assert started(scheduler.step(2_000, 10)) == {"urgent/0": "w-1"}
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -47,7 +47,7 @@
     scheduler.step(0, 10)
     assert scheduler.worker_lost("w-0", 1) == [TaskId("j", 0)]
     assert scheduler.reason_of(TaskId("j", 0)) == "requeued: worker lost"
-    scheduler.worker_added(node("w-1"))
+    scheduler.add_worker(node("w-1"))
     assert started(scheduler.step(2, 10)) == {"j/0": "w-1"}
     entry = scheduler.task_ended(TaskId("j", 0), EndStatus.FAILED, 3)
     assert entry is not None
@@ -57,7 +57,7 @@
 def test_a_draining_worker_gets_no_start() -> None:
     """Guards against new work on a worker that leaves."""
     scheduler = scheduler_of(node("w-0"))
-    scheduler.worker_draining("w-0", 0)
+    scheduler.drain_worker("w-0", 0)
     scheduler.submit(queued("j"), 0)
     assert scheduler.step(0, 10) == []
 
@@ -81,8 +81,8 @@
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
     scheduler.stop(TaskId("j", 0), "zone taken out", is_requeued=True)
-    assert stopped(list(scheduler.take_stops())) == {"j/0": "stop"}
-    assert scheduler.take_stops() == []
+    assert stopped(list(scheduler.pop_stops())) == {"j/0": "stop"}
+    assert scheduler.pop_stops() == []
 
 
 def test_a_task_that_ended_before_its_stop_was_sent_is_not_stopped() -> None:
@@ -105,7 +105,7 @@
         return scheduler.shares.use_of(team).cpu_millis + resources.cpu_millis <= 2000
 
     scheduler = Scheduler.from_config(policies, may_start)
-    scheduler.worker_added(node("w-0"))
+    scheduler.add_worker(node("w-0"))
     for index in range(4):
         scheduler.submit(queued("j", index), 0)
     assert len(started(scheduler.step(0, 10))) == 2
@@ -131,7 +131,7 @@
     entry = queued("urgent", team="b", urgent=True)
     scheduler.submit(entry, 0)
     scheduler.step(1_000, 10)
-    scheduler.worker_added(node("w-1", cores=1))
+    scheduler.add_worker(node("w-1", cores=1))
     scheduler.adopt(RunningTask.from_queued(entry, entry.task, "w-1", 900))
     scheduler.task_ended(TaskId("a", 0), EndStatus.DONE, 1_100)
     assert scheduler.step(1_100, 10) == []
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -42,14 +42,14 @@
     @rule(name=st.sampled_from(WORKERS))
     def add_worker(self, name: str) -> None:
         if name not in self.open_workers:
-            self.scheduler.worker_added(node(name, rack=name[-1]))
+            self.scheduler.add_worker(node(name, rack=name[-1]))
             self.open_workers.add(name)
             self.draining.discard(name)
 
     @rule(name=st.sampled_from(WORKERS))
     def drain_worker(self, name: str) -> None:
         if name in self.open_workers:
-            self.scheduler.worker_draining(name, self.now_ms)
+            self.scheduler.drain_worker(name, self.now_ms)
             self.open_workers.discard(name)
             self.draining.add(name)
 
