--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -30,7 +30,7 @@
 # share, because small tasks would take the room piece by piece.
 TASK_WAIT_MS = 5_000
 # Reserved room is idle until it suffices, so only a part of the workers has any.
-WORKERS_PER_CLAIM = 8
+WORKERS_PER_RESERVATION = 8
 # A team this far above its share, as a part of the shard, starts nothing while room
 # is kept for a team below its share. Less would leave room idle for single tasks.
 SHARE_SLACK = 0.01
@@ -91,7 +91,7 @@
             if worker_ids is None:
                 continue
             if not self.state.may_start(claim.entry.team, claim.entry.total):
-                self.state.drop_claim(claim, self.now_ms, AT_LIMIT)
+                self.state.cancel_reservation(claim, self.now_ms, AT_LIMIT)
                 continue
             self.state.claims.remove(claim)
             self._start(claim.entry, worker_ids)
@@ -171,7 +171,7 @@
             for worker_id in claim.worker_ids:
                 room = self.state.pool.yielded_room_of(worker_id)
                 if worker_id not in avoid and entry.resources.fits(room):
-                    self.state.drop_reservations_on(worker_id, self.now_ms)
+                    self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
                     return [worker_id]
         return None
 
@@ -200,7 +200,9 @@
             return waited_ms >= GANG_WAIT_MS and not claims.has_reserved_gang()
         if entry.is_urgent:
             return False
-        if claims.reserved_count() >= max(1, len(self.state.pool) // WORKERS_PER_CLAIM):
+        if claims.reserved_count() >= max(
+            1, len(self.state.pool) // WORKERS_PER_RESERVATION
+        ):
             return False
         if claims.reserved_of(entry.team):
             return False
@@ -220,7 +222,7 @@
             return None
         if entry.gang_size > 1:
             for worker_id in dict.fromkeys(worker_ids):
-                self.state.drop_reservations_on(worker_id, self.now_ms)
+                self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
         return Claim(entry, tuple(worker_ids), KEEPING_ROOM)
 
     def _preempt_for(self, entry: QueuedTask) -> Claim | None:
@@ -250,7 +252,7 @@
         for victim in victims:
             self._checkpoint(victim)
         for worker_id in worker_ids:
-            state.drop_reservations_on(worker_id, self.now_ms)
+            state.cancel_yielding_reservations_on(worker_id, self.now_ms)
         return Claim(entry, tuple(worker_ids), FREEING_ROOM)
 
     def _room_for_member(
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -122,7 +122,7 @@
         for queue in self._state.queues:
             queue.set_blocked(team, reason)
         if reason:
-            self._state.drop_claims_of(team, reason)
+            self._state.cancel_reservations_of(team, reason)
 
     def submit(self, entry: QueuedTask, now_ms: int) -> None:
         """Queue a task or a gang.
@@ -193,7 +193,7 @@
     def drain_worker(self, worker_id: str, now_ms: int) -> None:
         """Start nothing more on a worker; its tasks go on."""
         self.pool.drain(worker_id)
-        self._state.drop_claims_on(worker_id, now_ms)
+        self._state.cancel_reservations_on(worker_id, now_ms)
 
     def worker_lost(self, worker_id: str, now_ms: int) -> list[TaskId]:
         """Remove a worker whose tasks have certainly ended, and requeue them.
@@ -201,7 +201,7 @@
         Returns:
             The tasks that were running there.
         """
-        self._state.drop_claims_on(worker_id, now_ms)
+        self._state.cancel_reservations_on(worker_id, now_ms)
         lost = self._state.running.tasks_of_worker(worker_id)
         for running in lost:
             self.task_ended(running.task, EndStatus.LOST, now_ms)
@@ -225,7 +225,7 @@
         self.pool.reserve(running.worker_id, running.resources)
         claim = self._state.claims.find(running.task)
         if claim is not None:
-            self._state.drop_claim(claim, claim.entry.not_before_ms, "")
+            self._state.cancel_reservation(claim, claim.entry.not_before_ms, "")
         entry = self._state.find_queued(running.task)
         if entry is not None:
             self._state.queue_of(entry).cancel(running.task)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -161,27 +161,29 @@
         self._pending_stops.clear()
         return stops
 
-    def drop_claim(self, claim: Claim, now_ms: int, note: str) -> None:
+    def cancel_reservation(self, claim: Claim, now_ms: int, note: str) -> None:
         """Put work for which room is kept back into its queue."""
         self.claims.remove(claim)
         self.requeue(claim.entry, now_ms, note)
 
-    def drop_claims_on(self, worker_id: str, now_ms: int) -> None:
+    def cancel_reservations_on(self, worker_id: str, now_ms: int) -> None:
         """Drop the claims to room on a worker that takes no new work."""
         for claim in self.claims.of_worker(worker_id):
-            self.drop_claim(claim, now_ms, "requeued: its worker went away")
+            self.cancel_reservation(claim, now_ms, "requeued: its worker went away")
 
-    def drop_reservations_on(self, worker_id: str, now_ms: int) -> None:
+    def cancel_yielding_reservations_on(self, worker_id: str, now_ms: int) -> None:
         """Let the reservations that keep room on a worker give way."""
         for claim in self.claims.of_worker(worker_id):
             if not claim.entry.is_urgent:
-                self.drop_claim(claim, now_ms, "requeued: other work went first")
+                self.cancel_reservation(
+                    claim, now_ms, "requeued: other work went first"
+                )
 
-    def drop_claims_of(self, team: str, note: str) -> None:
+    def cancel_reservations_of(self, team: str, note: str) -> None:
         """Drop the claims of a team that must not start anything."""
         for claim in self.claims:
             if claim.entry.team == team:
-                self.drop_claim(claim, claim.entry.not_before_ms, note)
+                self.cancel_reservation(claim, claim.entry.not_before_ms, note)
 
     def _policy_from(self, policies: Policies) -> KindPolicy:
         # Kinds with the same order share a queue, so that shares hold across kinds.
