--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -11,11 +11,11 @@
 from marjoramgrade.decisions.queues import TaskQueue
 from marjoramgrade.decisions.running import StopRequest
 from marjoramgrade.decisions.shard_state import (
-    ABOVE_SHARE,
-    AT_LIMIT,
-    FREEING_ROOM,
-    KEEPING_ROOM,
-    NO_ROOM,
+    WAITING_ABOVE_SHARE,
+    WAITING_AT_LIMIT,
+    WAITING_FOR_CAPACITY,
+    WAITING_FOR_PREEMPTION,
+    WAITING_FOR_RESERVATION,
     ShardState,
 )
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
@@ -91,7 +91,7 @@
             if worker_ids is None:
                 continue
             if not self.state.may_start(claim.entry.team, claim.entry.total):
-                self.state.cancel_reservation(claim, self.now_ms, AT_LIMIT)
+                self.state.cancel_reservation(claim, self.now_ms, WAITING_AT_LIMIT)
                 continue
             self.state.claims.remove(claim)
             self._start(claim.entry, worker_ids)
@@ -109,10 +109,10 @@
             if entry is None:
                 return
             if not self.state.may_start(entry.team, entry.total):
-                queue.park(entry, AT_LIMIT)
+                queue.park(entry, WAITING_AT_LIMIT)
                 continue
             if not entry.is_urgent and self._must_give_way(entry.team):
-                queue.block(entry, ABOVE_SHARE)
+                queue.block(entry, WAITING_ABOVE_SHARE)
                 continue
             worker_ids = self._place_new(entry)
             if worker_ids is not None:
@@ -124,7 +124,7 @@
                 queue.take(entry)
                 self.state.claims.add(claim)
             else:
-                queue.park(entry, NO_ROOM)
+                queue.park(entry, WAITING_FOR_CAPACITY)
 
     def _must_give_way(self, team: str) -> bool:
         """Return whether room that becomes free is for teams below their share."""
@@ -223,7 +223,7 @@
         if entry.gang_size > 1:
             for worker_id in dict.fromkeys(worker_ids):
                 self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
-        return Claim(entry, tuple(worker_ids), KEEPING_ROOM)
+        return Claim(entry, tuple(worker_ids), WAITING_FOR_RESERVATION)
 
     def _preempt_for(self, entry: QueuedTask) -> Claim | None:
         """Make room for an urgent entry by stopping running tasks, or return None."""
@@ -253,7 +253,7 @@
             self._checkpoint(victim)
         for worker_id in worker_ids:
             state.cancel_yielding_reservations_on(worker_id, self.now_ms)
-        return Claim(entry, tuple(worker_ids), FREEING_ROOM)
+        return Claim(entry, tuple(worker_ids), WAITING_FOR_PREEMPTION)
 
     def _room_for_member(
         self, entry: QueuedTask, racks_avoid: frozenset[str]
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -17,8 +17,8 @@
 from marjoramgrade.decisions.rounds import Round
 from marjoramgrade.decisions.running import RunningTasks, StopRequest
 from marjoramgrade.decisions.shard_state import (
-    AT_LIMIT,
-    IN_QUEUE,
+    WAITING_AT_LIMIT,
+    WAITING_IN_QUEUE,
     MayStart,
     ShardState,
 )
@@ -117,7 +117,7 @@
             for team in teams:
                 queue.set_bound(team.name, team.queue_bound)
 
-    def set_blocked_team(self, team: str, reason: str = AT_LIMIT) -> None:
+    def set_blocked_team(self, team: str, reason: str = WAITING_AT_LIMIT) -> None:
         """Start nothing more of a team; an empty reason ends this."""
         for queue in self._state.queues:
             queue.set_blocked(team, reason)
@@ -295,7 +295,7 @@
         if entry is None:
             return ""
         reason = state.queue_of(entry).reason_of(entry)
-        return reason or state.requeue_reason_by_task.get(task, IN_QUEUE)
+        return reason or state.requeue_reason_by_task.get(task, WAITING_IN_QUEUE)
 
     def _member_ended(
         self, running: RunningTask, is_again: bool, has_failed: bool, now_ms: int
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -22,12 +22,12 @@
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
-AT_LIMIT = "waiting: team at its upper limit"
-NO_ROOM = "waiting: no worker has room"
-ABOVE_SHARE = "waiting: team is above its share, others go first"
-FREEING_ROOM = "waiting: running work is stopped to make room"
-KEEPING_ROOM = "waiting: room is kept as it becomes free"
-IN_QUEUE = "waiting: other work goes first"
+WAITING_AT_LIMIT = "waiting: team at its upper limit"
+WAITING_FOR_CAPACITY = "waiting: no worker has room"
+WAITING_ABOVE_SHARE = "waiting: team is above its share, others go first"
+WAITING_FOR_PREEMPTION = "waiting: running work is stopped to make room"
+WAITING_FOR_RESERVATION = "waiting: room is kept as it becomes free"
+WAITING_IN_QUEUE = "waiting: other work goes first"
 
 MayStart = Callable[[str, Resources], bool]
 
