--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -24,11 +24,11 @@
 
 # The bound for urgent work is 6.1 s: 1 s to find room by itself, 4 s for a
 # checkpoint, and the rest for the stop that follows and for the ticks between.
-URGENT_WAIT_MS = 1_000
-CHECKPOINT_MS = 4_000
+URGENT_PREEMPTION_DELAY_MS = 1_000
+CHECKPOINT_TIMEOUT_MS = 4_000
 # A task that needs much room may keep it after this time even if its team is at its
 # share, because small tasks would take the room piece by piece.
-TASK_WAIT_MS = 5_000
+TASK_RESERVATION_DELAY_MS = 5_000
 # Reserved room is idle until it suffices, so only a part of the workers has any.
 WORKERS_PER_RESERVATION = 8
 # A team this far above its share, as a part of the shard, starts nothing while room
@@ -36,11 +36,11 @@
 SHARE_SLACK = 0.01
 # A plan looks at many workers, so a round in a full shard makes only a few.
 PLANS_PER_ROUND = 4
-PREEMPTED = "preempted for urgent work"
+PREEMPTION_REASON = "preempted for urgent work"
 
 
 @attrs.define
-class Round:
+class SchedulingRound:
     """Starts what fits, urgent work first, and makes room for what must not wait.
 
     Attributes:
@@ -81,7 +81,7 @@
         while checkpoints and checkpoints[0][0] <= self.now_ms:
             running = checkpoints.popleft()[1]
             if self.state.running.find(running.task) is running:
-                self.state.enqueue_stop(running, StopMode.STOP, PREEMPTED)
+                self.state.enqueue_stop(running, StopMode.STOP, PREEMPTION_REASON)
 
     def _start_claims(self, priority: Priority) -> None:
         for claim in self.state.claims:
@@ -182,7 +182,7 @@
     def _claim_for(self, entry: QueuedTask) -> Claim | None:
         """Return a claim for an entry that has waited too long, or None."""
         waited_ms = self.now_ms - max(entry.queued_ms, entry.not_before_ms)
-        if entry.is_urgent and waited_ms >= URGENT_WAIT_MS:
+        if entry.is_urgent and waited_ms >= URGENT_PREEMPTION_DELAY_MS:
             claim = self._preempt_for(entry)
             if claim is not None:
                 return claim
@@ -206,7 +206,7 @@
             return False
         if claims.reserved_of(entry.team):
             return False
-        return self._excess_of(entry.team) < 0 or waited_ms >= TASK_WAIT_MS
+        return self._excess_of(entry.team) < 0 or waited_ms >= TASK_RESERVATION_DELAY_MS
 
     def _reserve_for(self, entry: QueuedTask) -> Claim | None:
         self._plans_left -= 1
@@ -237,7 +237,9 @@
                 break
             # Marked and held at once, so that the next member counts on neither.
             for victim in eviction.victims:
-                state.running.record_stop_request(victim, StopRequest(True, PREEMPTED))
+                state.running.record_stop_request(
+                    victim, StopRequest(True, PREEMPTION_REASON)
+                )
             state.pool.hold(eviction.worker_id, entry.resources)
             worker_ids.append(eviction.worker_id)
             victims.extend(eviction.victims)
@@ -274,5 +276,7 @@
         )
 
     def _checkpoint(self, victim: RunningTask) -> None:
-        self.state.stop(victim, StopMode.CHECKPOINT, StopRequest(True, PREEMPTED))
-        self.state.checkpoints.append((self.now_ms + CHECKPOINT_MS, victim))
+        self.state.stop(
+            victim, StopMode.CHECKPOINT, StopRequest(True, PREEMPTION_REASON)
+        )
+        self.state.checkpoints.append((self.now_ms + CHECKPOINT_TIMEOUT_MS, victim))
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -14,7 +14,7 @@
     StopTask,
 )
 from marjoramgrade.decisions.queues import DuplicateTaskError
-from marjoramgrade.decisions.rounds import Round
+from marjoramgrade.decisions.rounds import SchedulingRound
 from marjoramgrade.decisions.running import RunningTasks, StopRequest
 from marjoramgrade.decisions.shard_state import (
     WAITING_AT_LIMIT,
@@ -271,7 +271,7 @@
             now_ms: Time now.
             budget: Starts to decide at most; a gang may exceed it.
         """
-        return Round(self._state, now_ms, budget).run()
+        return SchedulingRound(self._state, now_ms, budget).run()
 
     def pop_stops(self) -> list[StopTask]:
         """Return the stops that are due, also while nothing may start."""
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,5 +1,8 @@
 from marjoramgrade.decisions.actions import EndStatus
-from marjoramgrade.decisions.rounds import CHECKPOINT_MS, URGENT_WAIT_MS
+from marjoramgrade.decisions.rounds import (
+    CHECKPOINT_TIMEOUT_MS,
+    URGENT_PREEMPTION_DELAY_MS,
+)
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.model import Kind, TaskId
 from tests.scheduling import node, queued, scheduler_of, started, stopped
@@ -16,8 +19,8 @@
 
 def victims_of(scheduler: Scheduler, **urgent: object) -> dict[str, str]:
     scheduler.submit(queued("urgent", urgent=True, at_ms=100, **urgent), 100)
-    assert scheduler.step(100 + URGENT_WAIT_MS - 1, 10) == []
-    return stopped(scheduler.step(100 + URGENT_WAIT_MS, 10))
+    assert scheduler.step(100 + URGENT_PREEMPTION_DELAY_MS - 1, 10) == []
+    return stopped(scheduler.step(100 + URGENT_PREEMPTION_DELAY_MS, 10))
 
 
 def test_the_newest_task_of_the_team_furthest_above_its_share_is_taken() -> None:
@@ -57,7 +60,7 @@
     )
     assert victims_of(scheduler, team="c") == {"batch/0": "checkpoint"}
     scheduler.submit(queued("second", team="c", urgent=True, cores=3), 0)
-    assert scheduler.step(2 * URGENT_WAIT_MS, 10) == []
+    assert scheduler.step(2 * URGENT_PREEMPTION_DELAY_MS, 10) == []
 
 
 def test_nobody_else_takes_the_room_and_the_victim_loses_no_attempt() -> None:
@@ -83,7 +86,7 @@
     scheduler = scheduler_of(node("w-0", cores=1))
     fill(scheduler, queued("a", 0, "a"))
     victims_of(scheduler, team="c")
-    stop_ms = 100 + URGENT_WAIT_MS + CHECKPOINT_MS
+    stop_ms = 100 + URGENT_PREEMPTION_DELAY_MS + CHECKPOINT_TIMEOUT_MS
     assert stopped(scheduler.step(stop_ms, 10)) == {"a/0": "stop"}
     # What remains of 6.1 s is for the worker's stop and the ticks.
     assert stop_ms - 100 <= 6_100 - 1_000
@@ -126,7 +129,7 @@
     assert victims_of(scheduler, team="c", members=(0, 1, 2)) == {}
     scheduler.cancel_job("urgent")
     scheduler.submit(queued("pair", urgent=True, members=(0, 1)), 0)
-    assert len(stopped(scheduler.step(2 * URGENT_WAIT_MS, 10))) == 2
+    assert len(stopped(scheduler.step(2 * URGENT_PREEMPTION_DELAY_MS, 10))) == 2
 
 
 def test_urgent_work_whose_worker_goes_away_is_not_lost() -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -2,7 +2,7 @@
 
 from marjoramgrade.decisions.actions import EndStatus
 from marjoramgrade.decisions.queues import DuplicateTaskError
-from marjoramgrade.decisions.rounds import TASK_WAIT_MS
+from marjoramgrade.decisions.rounds import TASK_RESERVATION_DELAY_MS
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.model import Kind, TaskId, Team
@@ -171,9 +171,9 @@
     scheduler.submit(queued("small", 1, "a"), 0)
     scheduler.step(0, 10)
     scheduler.submit(queued("large", team="a", cores=2), 0)
-    scheduler.step(TASK_WAIT_MS - 1, 10)
+    scheduler.step(TASK_RESERVATION_DELAY_MS - 1, 10)
     assert scheduler.reason_of(TaskId("large", 0)) == "waiting: no worker has room"
-    scheduler.step(TASK_WAIT_MS, 10)
+    scheduler.step(TASK_RESERVATION_DELAY_MS, 10)
     assert scheduler.reason_of(TaskId("large", 0)).startswith("waiting: room is kept")
 
 
