--- a/marjoramgrade/decisions/queue_orders.py
+++ b/marjoramgrade/decisions/queue_orders.py
@@ -15,47 +15,47 @@
 from marjoramgrade.registry import Registry
 from marjoramgrade.resources import Resources
 
-LaneKey = tuple[Kind, Resources, int, bool]
+ShapeKey = tuple[Kind, Resources, int, bool]
 
 
 @attrs.define(eq=False)
-class Lane:
+class ShapeQueue:
     """Entries of one team and priority that need the same.
 
     Attributes:
         entries: New work, oldest first.
-        returned: Heap of `(queued_ms, number, entry)` of requeued work, which keeps
+        requeued: Heap of `(queued_ms, number, entry)` of requeued work, which keeps
             its place by the time at which it was first queued.
         reason: Why the head was not started in the last round that tried it.
     """
 
     entries: deque[QueuedTask] = attrs.field(factory=deque)
-    returned: list[tuple[int, int, QueuedTask]] = attrs.field(factory=list)
+    requeued: list[tuple[int, int, QueuedTask]] = attrs.field(factory=list)
     reason: str = ""
 
     def __len__(self) -> int:
-        return len(self.entries) + len(self.returned)
+        return len(self.entries) + len(self.requeued)
 
     def head(self) -> QueuedTask:
         """Return the oldest entry of a lane that is not empty."""
-        return self.returned[0][2] if self._is_returned_next() else self.entries[0]
+        return self.requeued[0][2] if self._is_returned_next() else self.entries[0]
 
     def pop(self) -> QueuedTask:
         """Remove and return the oldest entry of a lane that is not empty."""
         if self._is_returned_next():
-            return heapq.heappop(self.returned)[2]
+            return heapq.heappop(self.requeued)[2]
         return self.entries.popleft()
 
-    def keep(self, is_live: Callable[[QueuedTask], bool]) -> None:
+    def retain(self, is_live: Callable[[QueuedTask], bool]) -> None:
         """Drop all other entries."""
         self.entries = deque(filter(is_live, self.entries))
-        self.returned = [item for item in self.returned if is_live(item[2])]
-        heapq.heapify(self.returned)
+        self.requeued = [item for item in self.requeued if is_live(item[2])]
+        heapq.heapify(self.requeued)
 
     def _is_returned_next(self) -> bool:
-        if not self.returned or not self.entries:
+        if not self.requeued or not self.entries:
             return not self.entries
-        return self.returned[0][0] <= self.entries[0].queued_ms
+        return self.requeued[0][0] <= self.entries[0].queued_ms
 
 
 @attrs.define(eq=False)
@@ -63,14 +63,14 @@
     """Lanes of one team at one priority.
 
     Attributes:
-        lane_by_key: The lanes by what their entries need.
-        heads: Heap of `(queued_ms, number, key)`, one for each lane not parked.
-        parked: Lanes that this round tried without success.
+        queue_by_shape: The lanes by what their entries need.
+        head_heap: Heap of `(queued_ms, number, key)`, one for each lane not parked.
+        skipped: Lanes that this round tried without success.
     """
 
-    lane_by_key: dict[LaneKey, Lane] = attrs.field(factory=dict)
-    heads: list[tuple[int, int, LaneKey]] = attrs.field(factory=list)
-    parked: list[tuple[int, int, LaneKey]] = attrs.field(factory=list)
+    queue_by_shape: dict[ShapeKey, ShapeQueue] = attrs.field(factory=dict)
+    head_heap: list[tuple[int, int, ShapeKey]] = attrs.field(factory=list)
+    skipped: list[tuple[int, int, ShapeKey]] = attrs.field(factory=list)
 
 
 class QueueOrder(Protocol):
@@ -139,4 +139,4 @@
         self, queue_by_team: Mapping[str, TeamQueue], teams: Collection[str]
     ) -> str:
         """Return the team with the oldest head."""
-        return min(teams, key=lambda team: queue_by_team[team].heads[0][:2])
+        return min(teams, key=lambda team: queue_by_team[team].head_heap[0][:2])
--- a/marjoramgrade/decisions/queues.py
+++ b/marjoramgrade/decisions/queues.py
@@ -15,9 +15,9 @@
 
 from marjoramgrade.decisions.queue_orders import (
     QUEUE_ORDERS,
-    Lane,
-    LaneKey,
     QueueOrder,
+    ShapeKey,
+    ShapeQueue,
     TeamQueue,
 )
 from marjoramgrade.decisions.tasks import QueuedTask
@@ -31,7 +31,7 @@
 SWEEP_MINIMUM = 1_024
 # Lanes of one team that a round tries. A team that asks for very many different
 # shapes would otherwise make each round of a full shard try all of them.
-LANES_PER_ROUND = 16
+SHAPES_PER_ROUND = 16
 DEFAULT_TEAM_BOUND = 100_000
 
 
@@ -58,7 +58,7 @@
     current: str = ""
 
 
-def lane_key_of(entry: QueuedTask) -> LaneKey:
+def shape_key_of(entry: QueuedTask) -> ShapeKey:
     """Return what makes entries of one team interchangeable for placement."""
     return (entry.kind, entry.resources, entry.gang_size, entry.spread_racks)
 
@@ -154,7 +154,7 @@
             if entry is not None:
                 return entry
             tier.ready.discard(team)
-            if not tier.queue_by_team[team].lane_by_key:
+            if not tier.queue_by_team[team].queue_by_shape:
                 del tier.queue_by_team[team]
         return None
 
@@ -164,11 +164,11 @@
         tier.current = self._order.pick(tier.queue_by_team, tier.ready)
         return tier.current
 
-    def take(self, entry: QueuedTask) -> None:
+    def dequeue(self, entry: QueuedTask) -> None:
         """Remove the entry that `peek` returned."""
         tier = self._tier_by_priority[entry.priority]
         tier.current = ""
-        tier.queue_by_team[entry.team].lane_by_key[lane_key_of(entry)].pop()
+        tier.queue_by_team[entry.team].queue_by_shape[shape_key_of(entry)].pop()
         entries = self._entries_by_job[entry.task.job_id]
         for task in entry.iter_tasks():
             del entries[task.index]
@@ -176,7 +176,7 @@
             del self._entries_by_job[entry.task.job_id]
         self._count(entry.team, -entry.gang_size)
 
-    def park(self, entry: QueuedTask, reason: str) -> None:
+    def skip_shape(self, entry: QueuedTask, reason: str) -> None:
         """Try nothing more from the lane of the entry in this round.
 
         Args:
@@ -185,16 +185,16 @@
         """
         tier = self._tier_by_priority[entry.priority]
         queue = tier.queue_by_team[entry.team]
-        queue.lane_by_key[lane_key_of(entry)].reason = reason
-        queue.parked.append(heapq.heappop(queue.heads))
+        queue.queue_by_shape[shape_key_of(entry)].reason = reason
+        queue.skipped.append(heapq.heappop(queue.head_heap))
         tier.touched.add(entry.team)
-        if not queue.heads or len(queue.parked) >= LANES_PER_ROUND:
+        if not queue.head_heap or len(queue.skipped) >= SHAPES_PER_ROUND:
             tier.ready.discard(entry.team)
 
-    def block(self, entry: QueuedTask, reason: str) -> None:
+    def skip_team(self, entry: QueuedTask, reason: str) -> None:
         """Try nothing more of the team of the entry that `peek` returned."""
         tier = self._tier_by_priority[entry.priority]
-        lane = tier.queue_by_team[entry.team].lane_by_key[lane_key_of(entry)]
+        lane = tier.queue_by_team[entry.team].queue_by_shape[shape_key_of(entry)]
         lane.reason = reason
         tier.touched.add(entry.team)
         tier.ready.discard(entry.team)
@@ -247,7 +247,7 @@
             return blocked
         tier = self._tier_by_priority[entry.priority]
         queue = tier.queue_by_team.get(entry.team)
-        lane = queue.lane_by_key.get(lane_key_of(entry)) if queue else None
+        lane = queue.queue_by_shape.get(shape_key_of(entry)) if queue else None
         return lane.reason if lane else ""
 
     def _check_bound(self, entry: QueuedTask, is_requeue: bool) -> None:
@@ -280,8 +280,8 @@
     def _sweep(self) -> None:
         for tier in self._tier_by_priority.values():
             for queue in tier.queue_by_team.values():
-                for lane in queue.lane_by_key.values():
-                    lane.keep(self._is_live)
+                for lane in queue.queue_by_shape.values():
+                    lane.retain(self._is_live)
         self._delayed = [item for item in self._delayed if self._is_live(item[2])]
         heapq.heapify(self._delayed)
         self._dead = 0
@@ -289,41 +289,41 @@
     def _enter_lane(self, entry: QueuedTask, is_requeue: bool) -> None:
         tier = self._tier_by_priority[entry.priority]
         queue = tier.queue_by_team.setdefault(entry.team, TeamQueue())
-        key = lane_key_of(entry)
-        lane = queue.lane_by_key.get(key)
+        key = shape_key_of(entry)
+        lane = queue.queue_by_shape.get(key)
         if lane is None:
-            lane = queue.lane_by_key[key] = Lane()
+            lane = queue.queue_by_shape[key] = ShapeQueue()
             item = (entry.queued_ms, next(self._number), key)
-            heapq.heappush(queue.heads, item)
+            heapq.heappush(queue.head_heap, item)
         if is_requeue:
-            returned = (entry.queued_ms, next(self._number), entry)
-            heapq.heappush(lane.returned, returned)
+            requeued = (entry.queued_ms, next(self._number), entry)
+            heapq.heappush(lane.requeued, requeued)
         else:
             lane.entries.append(entry)
-        if queue.heads and entry.team not in self._blocked_reason_by_team:
+        if queue.head_heap and entry.team not in self._blocked_reason_by_team:
             tier.ready.add(entry.team)
 
     def _unpark(self, tier: _Tier, team: str) -> None:
         queue = tier.queue_by_team[team]
-        for item in queue.parked:
-            heapq.heappush(queue.heads, item)
-        queue.parked.clear()
-        if queue.heads and team not in self._blocked_reason_by_team:
+        for item in queue.skipped:
+            heapq.heappush(queue.head_heap, item)
+        queue.skipped.clear()
+        if queue.head_heap and team not in self._blocked_reason_by_team:
             tier.ready.add(team)
 
     def _head_of(self, queue: TeamQueue) -> QueuedTask | None:
         """Return the head of the first lane; empty lanes are removed."""
-        while queue.heads:
-            queued_ms, number, key = queue.heads[0]
-            lane = queue.lane_by_key[key]
+        while queue.head_heap:
+            queued_ms, number, key = queue.head_heap[0]
+            lane = queue.queue_by_shape[key]
             while lane and not self._is_live(lane.head()):
                 self._dead -= lane.pop().gang_size
             if not lane:
-                heapq.heappop(queue.heads)
-                del queue.lane_by_key[key]
+                heapq.heappop(queue.head_heap)
+                del queue.queue_by_shape[key]
                 continue
             head = lane.head()
             if head.queued_ms <= queued_ms:
                 return head
-            heapq.heapreplace(queue.heads, (head.queued_ms, number, key))
+            heapq.heapreplace(queue.head_heap, (head.queued_ms, number, key))
         return None
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -109,22 +109,22 @@
             if entry is None:
                 return
             if not self.state.may_start(entry.team, entry.total):
-                queue.park(entry, WAITING_AT_LIMIT)
+                queue.skip_shape(entry, WAITING_AT_LIMIT)
                 continue
             if not entry.is_urgent and self._must_give_way(entry.team):
-                queue.block(entry, WAITING_ABOVE_SHARE)
+                queue.skip_team(entry, WAITING_ABOVE_SHARE)
                 continue
             worker_ids = self._place_new(entry)
             if worker_ids is not None:
-                queue.take(entry)
+                queue.dequeue(entry)
                 self._start(entry, worker_ids)
                 continue
             claim = self._claim_for(entry)
             if claim is not None:
-                queue.take(entry)
+                queue.dequeue(entry)
                 self.state.claims.add(claim)
             else:
-                queue.park(entry, WAITING_FOR_CAPACITY)
+                queue.skip_shape(entry, WAITING_FOR_CAPACITY)
 
     def _must_give_way(self, team: str) -> bool:
         """Return whether room that becomes free is for teams below their share."""
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -2,7 +2,7 @@
 
 from marjoramgrade.decisions.queue_orders import QUEUE_ORDERS
 from marjoramgrade.decisions.queues import (
-    LANES_PER_ROUND,
+    SHAPES_PER_ROUND,
     SWEEP_MINIMUM,
     DuplicateTaskError,
     TaskQueue,
@@ -20,7 +20,7 @@
 def drain(queue: TaskQueue, priority: Priority = Priority.NORMAL) -> list[str]:
     taken = []
     while entry := queue.peek(priority):
-        queue.take(entry)
+        queue.dequeue(entry)
         taken.append(str(entry.task))
     return taken
 
@@ -54,7 +54,7 @@
     queue.push(queued("other", team="b", at_ms=2), 2)
     head = queue.peek(Priority.NORMAL)
     assert head is not None
-    queue.park(head, "waiting: no worker has room")
+    queue.skip_shape(head, "waiting: no worker has room")
     assert drain(queue) == ["small/0", "other/0"]
     assert queue.reason_of(head) == "waiting: no worker has room"
     queue.begin_round(3)
@@ -68,9 +68,9 @@
         queue.push(queued(f"j-{cores}", cores=cores, at_ms=cores), 100)
     tried = 0
     while entry := queue.peek(Priority.NORMAL):
-        queue.park(entry, "no room")
+        queue.skip_shape(entry, "no room")
         tried += 1
-    assert tried == LANES_PER_ROUND
+    assert tried == SHAPES_PER_ROUND
 
 
 def test_cancelled_tasks_are_never_returned_and_not_counted() -> None:
@@ -94,7 +94,7 @@
     for index in range(3 * SWEEP_MINIMUM):
         queue.push(queued("j", index), 0)
         queue.cancel(TaskId("j", index))
-    lanes = queue._tier_by_priority[Priority.NORMAL].queue_by_team["a"].lane_by_key
+    lanes = queue._tier_by_priority[Priority.NORMAL].queue_by_team["a"].queue_by_shape
     assert sum(len(lane) for lane in lanes.values()) <= SWEEP_MINIMUM + 1
 
 
