--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -331,7 +331,7 @@
     def free_resources(self) -> Resources:
         """Return what is not reserved on any worker."""
         total = NOTHING
-        for _, free in self.scheduler.pool.iter_open():
+        for _, free in self.scheduler.pool.iter_schedulable():
             total = total + free
         return total
 
--- a/marjoramgrade/decisions/claims.py
+++ b/marjoramgrade/decisions/claims.py
@@ -72,7 +72,7 @@
             del self._reservation_by_task[claim.entry.task]
             self._count(claim, -1)
         for worker_id in claim.worker_ids:
-            self._pool.unhold(
+            self._pool.release_hold(
                 worker_id,
                 claim.entry.resources,
                 is_yielding=not claim.entry.is_urgent,
--- a/marjoramgrade/decisions/free_index.py
+++ b/marjoramgrade/decisions/free_index.py
@@ -104,7 +104,7 @@
                     if request.fits(available):
                         yield worker_id
 
-    def iter_roomiest(self) -> Iterator[str]:
+    def iter_most_available(self) -> Iterator[str]:
         """Yield all workers, the one with the most room first."""
         for block in reversed(self._blocks):
             for _, worker_id, _ in reversed(block.entries):
--- a/marjoramgrade/decisions/gangs.py
+++ b/marjoramgrade/decisions/gangs.py
@@ -52,7 +52,7 @@
         return chosen
     finally:
         for worker_id in chosen:
-            pool.unhold(worker_id, resources)
+            pool.release_hold(worker_id, resources)
 
 
 def members_that_fit(resources: Resources, room: Resources) -> int:
@@ -95,7 +95,7 @@
     racks: set[str] = set()
     compared = RESERVATION_CANDIDATES if count == 1 else len(pool)
     workers = sorted(
-        islice(pool.iter_roomiest(), compared),
+        islice(pool.iter_most_available(), compared),
         key=lambda pair: (
             (resources - pair[1]).dominant_share(pair[0].capacity),
             pair[0].worker_id,
@@ -105,7 +105,7 @@
         if node.worker_id in avoid or (spread_racks and node.rack in racks):
             continue
         # The holds of single tasks give way to a gang.
-        kept = pool.yielded_room_of if count > 1 else pool.available_of
+        kept = pool.available_after_yield if count > 1 else pool.available_of
         held = pool.free_of(node.worker_id) - kept(node.worker_id)
         room = node.capacity - services_on(node.worker_id) - held
         fitting = members_that_fit(resources, room)
--- a/marjoramgrade/decisions/placement.py
+++ b/marjoramgrade/decisions/placement.py
@@ -71,7 +71,7 @@
         racks_avoid: frozenset[str] = NOBODY,
     ) -> str | None:
         """Return the id of a worker with room, or None."""
-        for node, available in pool.iter_open():
+        for node, available in pool.iter_schedulable():
             if request.fits(available) and _is_allowed(node, avoid, racks_avoid):
                 return node.worker_id
         return None
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -96,15 +96,15 @@
         room_by_worker: dict[str, Resources] = {}
         for task in _iter_victims(running, shares):
             worker_id = task.worker_id
-            if worker_id in avoid or not pool.is_open(worker_id):
+            if worker_id in avoid or not pool.is_schedulable(worker_id):
                 continue
             if pool.node_of(worker_id).rack in racks_avoid:
                 continue
             room = room_by_worker.get(worker_id)
             if room is None:
-                room = pool.yielded_room_of(worker_id) + running.stopping_resources_on(
+                room = pool.available_after_yield(
                     worker_id
-                )
+                ) + running.stopping_resources_on(worker_id)
             room = room_by_worker[worker_id] = room + task.resources
             victims = victims_by_worker.setdefault(worker_id, [])
             victims.append(task)
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -169,7 +169,7 @@
         avoid = self.state.health.avoided(self.now_ms)
         for claim in self.state.claims.reservations():
             for worker_id in claim.worker_ids:
-                room = self.state.pool.yielded_room_of(worker_id)
+                room = self.state.pool.available_after_yield(worker_id)
                 if worker_id not in avoid and entry.resources.fits(room):
                     self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
                     return [worker_id]
@@ -246,7 +246,7 @@
             if entry.spread_racks:
                 racks.add(state.pool.node_of(eviction.worker_id).rack)
         for worker_id in worker_ids:
-            state.pool.unhold(worker_id, entry.resources)
+            state.pool.release_hold(worker_id, entry.resources)
         for victim in victims:
             state.running.clear_stop_request(victim)
         if len(worker_ids) < entry.gang_size:
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -222,7 +222,7 @@
         """
         if self._state.running.find(running.task) is not None:
             raise DuplicateTaskError(f"{running.task} runs already")
-        self.pool.reserve(running.worker_id, running.resources)
+        self.pool.allocate(running.worker_id, running.resources)
         claim = self._state.claims.find(running.task)
         if claim is not None:
             self._state.cancel_reservation(claim, claim.entry.not_before_ms, "")
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -111,7 +111,7 @@
         """Reserve room for an entry that is no longer queued, and start it."""
         starts = []
         for task, worker_id in zip(entry.iter_tasks(), worker_ids, strict=True):
-            self.pool.reserve(worker_id, entry.resources)
+            self.pool.allocate(worker_id, entry.resources)
             self.add_running(RunningTask.from_queued(entry, task, worker_id, now_ms))
             self.health.note_start(worker_id, now_ms)
             starts.append(StartTask(task, worker_id, entry.resources))
--- a/marjoramgrade/decisions/workers.py
+++ b/marjoramgrade/decisions/workers.py
@@ -100,7 +100,7 @@
         room.is_draining = True
         self._refresh(room)
 
-    def reserve(self, worker_id: str, amount: Resources) -> None:
+    def allocate(self, worker_id: str, amount: Resources) -> None:
         """Reserve an amount on a worker.
 
         Raises:
@@ -143,7 +143,7 @@
             room.yielding = room.yielding + amount
         self._refresh(room)
 
-    def unhold(
+    def release_hold(
         self, worker_id: str, amount: Resources, *, is_yielding: bool = False
     ) -> None:
         """End a hold; a worker that has gone is ignored."""
@@ -168,25 +168,25 @@
         room = self._get(worker_id)
         return room.free - room.held
 
-    def yielded_room_of(self, worker_id: str) -> Resources:
+    def available_after_yield(self, worker_id: str) -> Resources:
         """Return what is available once the holds that give way have ended."""
         room = self._get(worker_id)
         return room.free - room.held + room.yielding
 
-    def is_open(self, worker_id: str) -> bool:
+    def is_schedulable(self, worker_id: str) -> bool:
         """Return whether a worker is known and takes new work."""
         room = self._room_by_id.get(worker_id)
         return room is not None and not room.is_draining
 
-    def iter_open(self) -> Iterator[tuple[WorkerNode, Resources]]:
+    def iter_schedulable(self) -> Iterator[tuple[WorkerNode, Resources]]:
         """Yield workers that take new work and what is available on them."""
         for room in self._room_by_id.values():
             if not room.is_draining:
                 yield room.node, room.free - room.held
 
-    def iter_roomiest(self) -> Iterator[tuple[WorkerNode, Resources]]:
+    def iter_most_available(self) -> Iterator[tuple[WorkerNode, Resources]]:
         """Yield open workers and what is available, the most room first."""
-        for worker_id in self._index.iter_roomiest():
+        for worker_id in self._index.iter_most_available():
             room = self._room_by_id[worker_id]
             yield room.node, room.free - room.held
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -32,7 +32,7 @@
     """Guards against room kept where it never becomes free."""
     pool = pool_of(*WORKERS)
     for index in range(3):
-        pool.reserve(f"w-{index}", amount(3))
+        pool.allocate(f"w-{index}", amount(3))
     services = {"w-0": amount(3)}
     planned = plan_reservation(
         pool, amount(2), 4, False, lambda name: services.get(name, NOTHING)
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,16 +7,16 @@
 def test_a_reservation_above_the_capacity_is_refused_and_changes_nothing() -> None:
     """Guards against an overcommitted worker."""
     pool = pool_of(node("w-0", cores=4))
-    pool.reserve("w-0", amount(3))
+    pool.allocate("w-0", amount(3))
     with pytest.raises(OvercommitError):
-        pool.reserve("w-0", amount(2))
+        pool.allocate("w-0", amount(2))
     assert pool.free_of("w-0") == amount(1, 8)
 
 
 def test_a_release_above_the_reservation_is_refused() -> None:
     """Guards against room that a double release makes up."""
     pool = pool_of(node("w-0"))
-    pool.reserve("w-0", amount(1))
+    pool.allocate("w-0", amount(1))
     pool.release("w-0", amount(1))
     with pytest.raises(OvercommitError):
         pool.release("w-0", amount(1))
@@ -25,7 +25,7 @@
 def test_draining_hides_a_worker_and_keeps_its_reservations() -> None:
     """Guards against new work on a worker that is about to leave."""
     pool = pool_of(node("w-0"))
-    pool.reserve("w-0", amount(1))
+    pool.allocate("w-0", amount(1))
     pool.drain("w-0")
     assert list(pool.iter_fitting(amount(1))) == []
     pool.release("w-0", amount(1))
@@ -36,18 +36,18 @@
 def test_a_hold_hides_room_that_is_free_or_becomes_free() -> None:
     """Guards against small tasks that take the room kept for a gang."""
     pool = pool_of(node("w-0"))
-    pool.reserve("w-0", amount(3))
+    pool.allocate("w-0", amount(3))
     pool.hold("w-0", amount(3))
     pool.release("w-0", amount(3))
     assert list(pool.iter_fitting(amount(2))) == []
-    pool.unhold("w-0", amount(3))
+    pool.release_hold("w-0", amount(3))
     assert [n.worker_id for n in pool.iter_fitting(amount(4))] == ["w-0"]
 
 
 def test_a_worker_that_shrinks_below_its_reservations_is_refused() -> None:
     """Guards against overcommitment through a changed capacity."""
     pool = pool_of(node("w-0", cores=4))
-    pool.reserve("w-0", amount(3))
+    pool.allocate("w-0", amount(3))
     with pytest.raises(OvercommitError):
         pool.add(node("w-0", cores=2))
     pool.add(node("w-0", cores=8))
