--- a/marjoramgrade/decisions/gangs.py
+++ b/marjoramgrade/decisions/gangs.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from itertools import islice
 
-from marjoramgrade.decisions.placement import NOBODY, Placement
+from marjoramgrade.decisions.placement import NONE_AVOIDED, Placement
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.resources import Resources
 
@@ -23,7 +23,7 @@
     resources: Resources,
     count: int,
     spread_racks: bool,
-    avoid: frozenset[str] = NOBODY,
+    avoid_workers: frozenset[str] = NONE_AVOIDED,
 ) -> list[str] | None:
     """Choose workers for all members of a gang, or for none.
 
@@ -33,7 +33,7 @@
         resources: What each member needs.
         count: Number of members.
         spread_racks: Whether the members must use different racks.
-        avoid: Workers that must not be chosen.
+        avoid_workers: Workers that must not be chosen.
 
     Returns:
         One worker id for each member, or None if not all of them fit.
@@ -42,7 +42,9 @@
     racks: set[str] = set()
     try:
         while len(chosen) < count:
-            worker_id = placement.choose(pool, resources, avoid, frozenset(racks))
+            worker_id = placement.choose(
+                pool, resources, avoid_workers, frozenset(racks)
+            )
             if worker_id is None:
                 return None
             pool.hold(worker_id, resources)
@@ -72,7 +74,7 @@
     count: int,
     spread_racks: bool,
     services_on: Callable[[str], Resources],
-    avoid: frozenset[str] = NOBODY,
+    avoid_workers: frozenset[str] = NONE_AVOIDED,
 ) -> list[str] | None:
     """Choose workers on which room is kept for a gang until it is free.
 
@@ -86,7 +88,7 @@
         count: Number of members.
         spread_racks: Whether the members must use different racks.
         services_on: Returns what services use on a worker.
-        avoid: Workers that must not be chosen.
+        avoid_workers: Workers that must not be chosen.
 
     Returns:
         One worker id for each member, or None if the room can never become free.
@@ -102,7 +104,7 @@
         ),
     )
     for node, _ in workers:
-        if node.worker_id in avoid or (spread_racks and node.rack in racks):
+        if node.worker_id in avoid_workers or (spread_racks and node.rack in racks):
             continue
         # The holds of single tasks give way to a gang.
         kept = pool.available_after_yield if count > 1 else pool.available_of
--- a/marjoramgrade/decisions/placement.py
+++ b/marjoramgrade/decisions/placement.py
@@ -8,7 +8,7 @@
 from marjoramgrade.registry import Registry
 from marjoramgrade.resources import Resources
 
-NOBODY: frozenset[str] = frozenset()
+NONE_AVOIDED: frozenset[str] = frozenset()
 
 
 class Placement(Protocol):
@@ -18,16 +18,16 @@
         self,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
         """Return the id of a worker with room, or None.
 
         Args:
             pool: The workers of the shard.
             request: What the task needs.
-            avoid: Workers that must not be chosen.
-            racks_avoid: Racks whose workers must not be chosen.
+            avoid_workers: Workers that must not be chosen.
+            avoid_racks: Racks whose workers must not be chosen.
         """
         ...
 
@@ -36,9 +36,9 @@
 
 
 def _is_allowed(
-    node: WorkerNode, avoid: frozenset[str], racks_avoid: frozenset[str]
+    node: WorkerNode, avoid_workers: frozenset[str], avoid_racks: frozenset[str]
 ) -> bool:
-    return node.worker_id not in avoid and node.rack not in racks_avoid
+    return node.worker_id not in avoid_workers and node.rack not in avoid_racks
 
 
 @PLACEMENTS.register("best_fit")
@@ -49,12 +49,12 @@
         self,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
         """Return the id of a worker with room, or None."""
         for node in pool.iter_fitting(request):
-            if _is_allowed(node, avoid, racks_avoid):
+            if _is_allowed(node, avoid_workers, avoid_racks):
                 return node.worker_id
         return None
 
@@ -67,11 +67,13 @@
         self,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
         """Return the id of a worker with room, or None."""
         for node, available in pool.iter_schedulable():
-            if request.fits(available) and _is_allowed(node, avoid, racks_avoid):
+            if request.fits(available) and _is_allowed(
+                node, avoid_workers, avoid_racks
+            ):
                 return node.worker_id
         return None
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.placement import NOBODY
+from marjoramgrade.decisions.placement import NONE_AVOIDED
 from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.decisions.shares import ShareBook
 from marjoramgrade.decisions.tasks import RunningTask
@@ -38,8 +38,8 @@
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> Eviction | None:
         """Return tasks of one worker that make room together, or None.
 
@@ -48,8 +48,8 @@
             shares: What each team uses.
             pool: The workers of the shard.
             request: What the urgent task needs.
-            avoid: Workers that must not be chosen.
-            racks_avoid: Racks whose workers must not be chosen.
+            avoid_workers: Workers that must not be chosen.
+            avoid_racks: Racks whose workers must not be chosen.
         """
         ...
 
@@ -67,8 +67,8 @@
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> Eviction | None:
         """Return None."""
         return None
@@ -88,17 +88,17 @@
         shares: ShareBook,
         pool: WorkerPool,
         request: Resources,
-        avoid: frozenset[str] = NOBODY,
-        racks_avoid: frozenset[str] = NOBODY,
+        avoid_workers: frozenset[str] = NONE_AVOIDED,
+        avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> Eviction | None:
         """Return the cheapest tasks of one worker that make room, or None."""
         victims_by_worker: dict[str, list[RunningTask]] = {}
         room_by_worker: dict[str, Resources] = {}
         for task in _iter_victims(running, shares):
             worker_id = task.worker_id
-            if worker_id in avoid or not pool.is_schedulable(worker_id):
+            if worker_id in avoid_workers or not pool.is_schedulable(worker_id):
                 continue
-            if pool.node_of(worker_id).rack in racks_avoid:
+            if pool.node_of(worker_id).rack in avoid_racks:
                 continue
             room = room_by_worker.get(worker_id)
             if room is None:
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -148,7 +148,7 @@
 
     def _place(self, entry: QueuedTask) -> list[str] | None:
         placement = self.state.policy_by_kind[entry.kind].placement
-        avoid = self.state.health.avoided(self.now_ms)
+        avoid_workers = self.state.health.avoided(self.now_ms)
         pool = self.state.pool
         if entry.gang_size > 1:
             return place_gang(
@@ -157,20 +157,20 @@
                 entry.resources,
                 entry.gang_size,
                 entry.spread_racks,
-                avoid,
+                avoid_workers,
             )
-        worker_id = placement.choose(pool, entry.resources, avoid)
+        worker_id = placement.choose(pool, entry.resources, avoid_workers)
         if worker_id is not None:
             return [worker_id]
         return self._place_over_reservations(entry) if entry.is_urgent else None
 
     def _place_over_reservations(self, entry: QueuedTask) -> list[str] | None:
         """Return a worker with room for an urgent task if a reservation ends."""
-        avoid = self.state.health.avoided(self.now_ms)
+        avoid_workers = self.state.health.avoided(self.now_ms)
         for claim in self.state.claims.reservations():
             for worker_id in claim.worker_ids:
                 room = self.state.pool.available_after_yield(worker_id)
-                if worker_id not in avoid and entry.resources.fits(room):
+                if worker_id not in avoid_workers and entry.resources.fits(room):
                     self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
                     return [worker_id]
         return None
@@ -258,12 +258,14 @@
         return Claim(entry, tuple(worker_ids), WAITING_FOR_PREEMPTION)
 
     def _room_for_member(
-        self, entry: QueuedTask, racks_avoid: frozenset[str]
+        self, entry: QueuedTask, avoid_racks: frozenset[str]
     ) -> Eviction | None:
         state = self.state
         policy = state.policy_by_kind[entry.kind]
-        avoid = state.health.avoided(self.now_ms)
-        free = policy.placement.choose(state.pool, entry.resources, avoid, racks_avoid)
+        avoid_workers = state.health.avoided(self.now_ms)
+        free = policy.placement.choose(
+            state.pool, entry.resources, avoid_workers, avoid_racks
+        )
         if free is not None:
             return Eviction(free, ())
         return policy.preemption.choose(
@@ -271,8 +273,8 @@
             state.shares,
             state.pool,
             entry.resources,
-            avoid,
-            racks_avoid,
+            avoid_workers,
+            avoid_racks,
         )
 
     def _checkpoint(self, victim: RunningTask) -> None:
