--- a/marjoramgrade/decisions/gangs.py
+++ b/marjoramgrade/decisions/gangs.py
@@ -11,7 +11,7 @@
 
 # Small tasks keep a busy shard full, so a gang would never find all its room at
 # once. After this time room is kept for it as it becomes free.
-GANG_WAIT_MS = 10_000
+GANG_RESERVATION_DELAY_MS = 10_000
 
 # Bounds the cost of a reservation for one task in a large shard.
 RESERVATION_CANDIDATES = 32
@@ -73,7 +73,7 @@
     resources: Resources,
     count: int,
     spread_racks: bool,
-    services_on: Callable[[str], Resources],
+    service_resources_on: Callable[[str], Resources],
     avoid_workers: frozenset[str] = NONE_AVOIDED,
 ) -> list[str] | None:
     """Choose workers on which room is kept for a gang until it is free.
@@ -87,7 +87,7 @@
         resources: What each member needs.
         count: Number of members.
         spread_racks: Whether the members must use different racks.
-        services_on: Returns what services use on a worker.
+        service_resources_on: Returns what services use on a worker.
         avoid_workers: Workers that must not be chosen.
 
     Returns:
@@ -109,7 +109,7 @@
         # The holds of single tasks give way to a gang.
         kept = pool.available_after_yield if count > 1 else pool.available_of
         held = pool.free_of(node.worker_id) - kept(node.worker_id)
-        room = node.capacity - services_on(node.worker_id) - held
+        room = node.capacity - service_resources_on(node.worker_id) - held
         fitting = members_that_fit(resources, room)
         if spread_racks and fitting:
             fitting = 1
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -5,10 +5,14 @@
 import attrs
 
 from marjoramgrade.decisions.actions import Decision, StartTask, StopMode
-from marjoramgrade.decisions.claims import Claim
-from marjoramgrade.decisions.gangs import GANG_WAIT_MS, place_gang, plan_reservation
+from marjoramgrade.decisions.gangs import (
+    GANG_RESERVATION_DELAY_MS,
+    place_gang,
+    plan_reservation,
+)
 from marjoramgrade.decisions.preemption import Eviction
 from marjoramgrade.decisions.queues import TaskQueue
+from marjoramgrade.decisions.reservations import Reservation
 from marjoramgrade.decisions.running import StopRequest
 from marjoramgrade.decisions.shard_state import (
     WAITING_ABOVE_SHARE,
@@ -66,7 +70,10 @@
             queue.begin_round(self.now_ms)
         self._escalate_checkpoints()
         waiting = [team for queue in self.state.queues for team in queue.iter_teams()]
-        waiting += [claim.entry.team for claim in self.state.claims.reservations()]
+        waiting += [
+            reservation.entry.team
+            for reservation in self.state.reservations.list_yielding()
+        ]
         self._waiting_teams = tuple(dict.fromkeys(waiting))
         # Urgent work comes first, so that nothing started here is stopped here.
         for priority in sorted(Priority, reverse=True):
@@ -84,24 +91,28 @@
                 self.state.enqueue_stop(running, StopMode.STOP, PREEMPTION_REASON)
 
     def _start_claims(self, priority: Priority) -> None:
-        for claim in self.state.claims:
-            if claim.entry.priority is not priority:
+        for reservation in self.state.reservations:
+            if reservation.entry.priority is not priority:
                 continue
-            worker_ids = self._room_for_claim(claim)
+            worker_ids = self._room_for_claim(reservation)
             if worker_ids is None:
                 continue
-            if not self.state.may_start(claim.entry.team, claim.entry.total):
-                self.state.cancel_reservation(claim, self.now_ms, WAITING_AT_LIMIT)
+            if not self.state.may_start(
+                reservation.entry.team, reservation.entry.total
+            ):
+                self.state.cancel_reservation(
+                    reservation, self.now_ms, WAITING_AT_LIMIT
+                )
                 continue
-            self.state.claims.remove(claim)
-            self._start(claim.entry, worker_ids)
+            self.state.reservations.remove(reservation)
+            self._start(reservation.entry, worker_ids)
 
-    def _room_for_claim(self, claim: Claim) -> list[str] | None:
+    def _room_for_claim(self, reservation: Reservation) -> list[str] | None:
         """Return where the work of a claim can start now, or None."""
-        if claim.is_ready(self.state.pool):
-            return list(claim.worker_ids)
+        if reservation.is_ready(self.state.pool):
+            return list(reservation.worker_ids)
         # Room may appear elsewhere while a checkpoint is written.
-        return self._place(claim.entry) if claim.entry.is_urgent else None
+        return self._place(reservation.entry) if reservation.entry.is_urgent else None
 
     def _start_queued(self, queue: TaskQueue, priority: Priority) -> None:
         while len(self._starts) < self.budget:
@@ -119,16 +130,16 @@
                 queue.dequeue(entry)
                 self._start(entry, worker_ids)
                 continue
-            claim = self._claim_for(entry)
-            if claim is not None:
+            reservation = self._claim_for(entry)
+            if reservation is not None:
                 queue.dequeue(entry)
-                self.state.claims.add(claim)
+                self.state.reservations.add(reservation)
             else:
                 queue.skip_shape(entry, WAITING_FOR_CAPACITY)
 
     def _must_give_way(self, team: str) -> bool:
         """Return whether room that becomes free is for teams below their share."""
-        if not self.state.claims.reserved_count():
+        if not self.state.reservations.yielding_count():
             return False
         return self._excess_of(team) > SHARE_SLACK
 
@@ -167,8 +178,8 @@
     def _place_over_reservations(self, entry: QueuedTask) -> list[str] | None:
         """Return a worker with room for an urgent task if a reservation ends."""
         avoid_workers = self.state.health.avoided(self.now_ms)
-        for claim in self.state.claims.reservations():
-            for worker_id in claim.worker_ids:
+        for reservation in self.state.reservations.list_yielding():
+            for worker_id in reservation.worker_ids:
                 room = self.state.pool.available_after_yield(worker_id)
                 if worker_id not in avoid_workers and entry.resources.fits(room):
                     self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
@@ -179,13 +190,13 @@
         self._mean_level = None
         self._starts.extend(self.state.start(entry, worker_ids, self.now_ms))
 
-    def _claim_for(self, entry: QueuedTask) -> Claim | None:
+    def _claim_for(self, entry: QueuedTask) -> Reservation | None:
         """Return a claim for an entry that has waited too long, or None."""
         waited_ms = self.now_ms - max(entry.queued_ms, entry.not_before_ms)
         if entry.is_urgent and waited_ms >= URGENT_PREEMPTION_DELAY_MS:
-            claim = self._preempt_for(entry)
-            if claim is not None:
-                return claim
+            reservation = self._preempt_for(entry)
+            if reservation is not None:
+                return reservation
         if not self._may_reserve(entry, waited_ms):
             return None
         return self._reserve_for(entry)
@@ -194,21 +205,24 @@
         """Return whether room may be kept for an entry as it becomes free."""
         if not self._plans_left:
             return False
-        claims = self.state.claims
+        reservations = self.state.reservations
         if entry.gang_size > 1:
             # Two gangs must not each keep half of what the other needs.
-            return waited_ms >= GANG_WAIT_MS and not claims.has_reserved_gang()
+            return (
+                waited_ms >= GANG_RESERVATION_DELAY_MS
+                and not reservations.has_yielding_gang()
+            )
         if entry.is_urgent:
             return False
-        if claims.reserved_count() >= max(
+        if reservations.yielding_count() >= max(
             1, len(self.state.pool) // WORKERS_PER_RESERVATION
         ):
             return False
-        if claims.reserved_of(entry.team):
+        if reservations.yielding_count_of(entry.team):
             return False
         return self._excess_of(entry.team) < 0 or waited_ms >= TASK_RESERVATION_DELAY_MS
 
-    def _reserve_for(self, entry: QueuedTask) -> Claim | None:
+    def _reserve_for(self, entry: QueuedTask) -> Reservation | None:
         self._plans_left -= 1
         worker_ids = plan_reservation(
             self.state.pool,
@@ -223,9 +237,9 @@
         if entry.gang_size > 1:
             for worker_id in dict.fromkeys(worker_ids):
                 self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
-        return Claim(entry, tuple(worker_ids), WAITING_FOR_RESERVATION)
+        return Reservation(entry, tuple(worker_ids), WAITING_FOR_RESERVATION)
 
-    def _preempt_for(self, entry: QueuedTask) -> Claim | None:
+    def _preempt_for(self, entry: QueuedTask) -> Reservation | None:
         """Make room for an urgent entry by stopping running tasks, or return None."""
         state = self.state
         worker_ids: list[str] = []
@@ -255,7 +269,7 @@
             self._checkpoint(victim)
         for worker_id in worker_ids:
             state.cancel_yielding_reservations_on(worker_id, self.now_ms)
-        return Claim(entry, tuple(worker_ids), WAITING_FOR_PREEMPTION)
+        return Reservation(entry, tuple(worker_ids), WAITING_FOR_PREEMPTION)
 
     def _room_for_member(
         self, entry: QueuedTask, avoid_racks: frozenset[str]
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -98,7 +98,9 @@
     @property
     def queued_count(self) -> int:
         """The number of queued tasks, those with room kept for them included."""
-        claimed = sum(claim.entry.gang_size for claim in self._state.claims)
+        claimed = sum(
+            reservation.entry.gang_size for reservation in self._state.reservations
+        )
         return claimed + sum(len(queue) for queue in self._state.queues)
 
     def queued_count_of(self, team: str) -> int:
@@ -145,9 +147,9 @@
         self._state.requeue_reason_by_task.pop(task, None)
         if any(queue.cancel(task) for queue in self._state.queues):
             return True
-        claim = self._state.claims.find(task)
-        if claim is not None:
-            self._state.claims.remove(claim)
+        reservation = self._state.reservations.find(task)
+        if reservation is not None:
+            self._state.reservations.remove(reservation)
             return True
         if self._state.gangs.is_waiting(task):
             self._state.gangs.cancel(task)
@@ -161,9 +163,9 @@
         """Cancel every task of a job and return their number."""
         cancelled = sum(queue.cancel_job(job_id) for queue in self._state.queues)
         cancelled += self._state.gangs.cancel_job(job_id)
-        for claim in self._state.claims.of_job(job_id):
-            self._state.claims.remove(claim)
-            cancelled += claim.entry.gang_size
+        for reservation in self._state.reservations.of_job(job_id):
+            self._state.reservations.remove(reservation)
+            cancelled += reservation.entry.gang_size
         for running in self._state.running.tasks_of_job(job_id):
             self._state.stop(running, StopMode.STOP, CANCELLED)
             cancelled += 1
@@ -223,9 +225,11 @@
         if self._state.running.find(running.task) is not None:
             raise DuplicateTaskError(f"{running.task} runs already")
         self.pool.allocate(running.worker_id, running.resources)
-        claim = self._state.claims.find(running.task)
-        if claim is not None:
-            self._state.cancel_reservation(claim, claim.entry.not_before_ms, "")
+        reservation = self._state.reservations.find(running.task)
+        if reservation is not None:
+            self._state.cancel_reservation(
+                reservation, reservation.entry.not_before_ms, ""
+            )
         entry = self._state.find_queued(running.task)
         if entry is not None:
             self._state.queue_of(entry).cancel(running.task)
@@ -286,9 +290,9 @@
             if stopping is not None:
                 return f"stopping on {running.worker_id}: {stopping.reason}"
             return f"placed on {running.worker_id}"
-        claim = state.claims.find(task)
-        if claim is not None:
-            return claim.reason
+        reservation = state.reservations.find(task)
+        if reservation is not None:
+            return reservation.reason
         if state.gangs.is_waiting(task):
             return "waiting: the rest of its gang has not ended yet"
         entry = state.find_queued(task)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -8,12 +8,12 @@
 import attrs
 
 from marjoramgrade.decisions.actions import StartTask, StopMode, StopTask
-from marjoramgrade.decisions.claims import Claim, ClaimBook
 from marjoramgrade.decisions.gang_runs import GangBook
 from marjoramgrade.decisions.health import WorkerHealth
 from marjoramgrade.decisions.placement import PLACEMENTS, Placement
 from marjoramgrade.decisions.preemption import PREEMPTIONS, Preemption
 from marjoramgrade.decisions.queues import QUEUE_ORDERS, TaskQueue
+from marjoramgrade.decisions.reservations import Reservation, Reservations
 from marjoramgrade.decisions.running import RunningTasks, StopRequest
 from marjoramgrade.decisions.shares import ShareBook
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
@@ -56,7 +56,7 @@
         self.shares = ShareBook()
         self.running = RunningTasks()
         self.health = WorkerHealth()
-        self.claims = ClaimBook(self.pool)
+        self.reservations = Reservations(self.pool)
         self.gangs = GangBook()
         self.may_start = may_start
         self.requeue_reason_by_task: dict[TaskId, str] = {}
@@ -89,7 +89,7 @@
         """Return whether a task runs, is about to, or waits for its gang to end."""
         return (
             self.running.find(task) is not None
-            or self.claims.find(task) is not None
+            or self.reservations.find(task) is not None
             or self.gangs.is_waiting(task)
         )
 
@@ -161,29 +161,35 @@
         self._pending_stops.clear()
         return stops
 
-    def cancel_reservation(self, claim: Claim, now_ms: int, note: str) -> None:
+    def cancel_reservation(
+        self, reservation: Reservation, now_ms: int, note: str
+    ) -> None:
         """Put work for which room is kept back into its queue."""
-        self.claims.remove(claim)
-        self.requeue(claim.entry, now_ms, note)
+        self.reservations.remove(reservation)
+        self.requeue(reservation.entry, now_ms, note)
 
     def cancel_reservations_on(self, worker_id: str, now_ms: int) -> None:
         """Drop the claims to room on a worker that takes no new work."""
-        for claim in self.claims.of_worker(worker_id):
-            self.cancel_reservation(claim, now_ms, "requeued: its worker went away")
+        for reservation in self.reservations.of_worker(worker_id):
+            self.cancel_reservation(
+                reservation, now_ms, "requeued: its worker went away"
+            )
 
     def cancel_yielding_reservations_on(self, worker_id: str, now_ms: int) -> None:
         """Let the reservations that keep room on a worker give way."""
-        for claim in self.claims.of_worker(worker_id):
-            if not claim.entry.is_urgent:
+        for reservation in self.reservations.of_worker(worker_id):
+            if not reservation.entry.is_urgent:
                 self.cancel_reservation(
-                    claim, now_ms, "requeued: other work went first"
+                    reservation, now_ms, "requeued: other work went first"
                 )
 
     def cancel_reservations_of(self, team: str, note: str) -> None:
         """Drop the claims of a team that must not start anything."""
-        for claim in self.claims:
-            if claim.entry.team == team:
-                self.cancel_reservation(claim, claim.entry.not_before_ms, note)
+        for reservation in self.reservations:
+            if reservation.entry.team == team:
+                self.cancel_reservation(
+                    reservation, reservation.entry.not_before_ms, note
+                )
 
     def _policy_from(self, policies: Policies) -> KindPolicy:
         # Kinds with the same order share a queue, so that shares hold across kinds.
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,5 +1,9 @@
 from marjoramgrade.decisions.actions import EndStatus
-from marjoramgrade.decisions.gangs import GANG_WAIT_MS, place_gang, plan_reservation
+from marjoramgrade.decisions.gangs import (
+    GANG_RESERVATION_DELAY_MS,
+    place_gang,
+    plan_reservation,
+)
 from marjoramgrade.decisions.placement import PLACEMENTS
 from marjoramgrade.model import TaskId
 from marjoramgrade.resources import NOTHING
@@ -49,14 +53,14 @@
         scheduler.submit(queued("small", index), 0)
     scheduler.submit(queued("gang", members=(0, 1, 2, 3)), 0)
     # Two ends fall in each step, never four, so that all room is never free at once.
-    for now_ms in range(0, 3 * GANG_WAIT_MS, 100):
+    for now_ms in range(0, 3 * GANG_RESERVATION_DELAY_MS, 100):
         for _, name in running[:2]:
             scheduler.task_ended(TaskId.parse(name), EndStatus.DONE, now_ms)
         del running[:2]
         names = started(scheduler.step(now_ms, 100))
         if "gang/0" in names:
             assert sum(name.startswith("gang") for name in names) == 4
-            assert now_ms >= GANG_WAIT_MS
+            assert now_ms >= GANG_RESERVATION_DELAY_MS
             return
         running.extend((now_ms, name) for name in names)
     raise AssertionError("the gang was not started")
