--- a/marjoramgrade/decisions/gang_runs.py
+++ b/marjoramgrade/decisions/gang_runs.py
@@ -14,12 +14,12 @@
 
     Attributes:
         running: Number of members that have not ended.
-        again: Members that ended without a result and must start again.
+        members_to_restart: Members that ended without a result and must start again.
         has_failed: Whether a member failed by itself, which counts an attempt.
     """
 
     running: int = 0
-    again: set[int] = attrs.field(factory=set)
+    members_to_restart: set[int] = attrs.field(factory=set)
     has_failed: bool = False
 
 
@@ -38,18 +38,18 @@
     has_failed: bool = False
 
 
-class GangBook:
+class GangRuns:
     """The started gangs of one shard, by job."""
 
     def __init__(self) -> None:
         self._run_by_job: dict[str, GangRun] = {}
 
-    def note_start(self, running: RunningTask) -> None:
+    def record_start(self, running: RunningTask) -> None:
         """Count a member that starts."""
         run = self._run_by_job.setdefault(running.task.job_id, GangRun())
         run.running += 1
 
-    def note_adopted(self, running: RunningTask, queued: tuple[int, ...]) -> None:
+    def record_adoption(self, running: RunningTask, queued: tuple[int, ...]) -> None:
         """Take note of a counted member that was found running.
 
         Args:
@@ -57,48 +57,48 @@
             queued: Members of the gang that were queued until now.
         """
         run = self._run_by_job[running.task.job_id]
-        run.again.update(queued)
-        run.again.discard(running.task.index)
+        run.members_to_restart.update(queued)
+        run.members_to_restart.discard(running.task.index)
 
-    def is_waiting(self, task: TaskId) -> bool:
+    def is_awaiting_restart(self, task: TaskId) -> bool:
         """Return whether a task starts again once its gang has ended."""
         run = self._run_by_job.get(task.job_id)
-        return run is not None and task.index in run.again
+        return run is not None and task.index in run.members_to_restart
 
     def cancel(self, task: TaskId) -> None:
         """Let a member that waits for the end of its gang not start again."""
         run = self._run_by_job.get(task.job_id)
         if run is not None:
-            run.again.discard(task.index)
+            run.members_to_restart.discard(task.index)
 
     def cancel_job(self, job_id: str) -> int:
         """Let no member of a gang start again; returns how many waited."""
         run = self._run_by_job.get(job_id)
         if run is None:
             return 0
-        waiting = len(run.again)
-        run.again.clear()
+        waiting = len(run.members_to_restart)
+        run.members_to_restart.clear()
         return waiting
 
-    def note_end(
-        self, running: RunningTask, is_again: bool, has_failed: bool
+    def record_end(
+        self, running: RunningTask, must_restart: bool, has_failed: bool
     ) -> MemberEnd:
         """Count a member that has ended.
 
         Args:
             running: The member.
-            is_again: Whether it must start again.
+            must_restart: Whether it must start again.
             has_failed: Whether it failed by itself.
         """
         run = self._run_by_job[running.task.job_id]
-        if is_again:
-            run.again.add(running.task.index)
+        if must_restart:
+            run.members_to_restart.add(running.task.index)
         run.has_failed = run.has_failed or has_failed
         run.running -= 1
         if run.running:
-            return MemberEnd(must_stop_others=is_again)
+            return MemberEnd(must_stop_others=must_restart)
         del self._run_by_job[running.task.job_id]
-        if not run.again:
+        if not run.members_to_restart:
             return MemberEnd()
-        entry = running.to_queued(tuple(sorted(run.again)))
+        entry = running.to_queued(tuple(sorted(run.members_to_restart)))
         return MemberEnd(entry=entry, has_failed=run.has_failed)
--- a/marjoramgrade/decisions/health.py
+++ b/marjoramgrade/decisions/health.py
@@ -59,7 +59,7 @@
             self._refresh(now_ms)
         return self._avoided
 
-    def note_start(self, worker_id: str, now_ms: int) -> None:
+    def record_start(self, worker_id: str, now_ms: int) -> None:
         """Take note of a start; on a suspected worker it is the probe."""
         if worker_id in self._suspects:
             self._state_by_worker[worker_id].is_probing = True
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -151,7 +151,7 @@
         if reservation is not None:
             self._state.reservations.remove(reservation)
             return True
-        if self._state.gangs.is_waiting(task):
+        if self._state.gangs.is_awaiting_restart(task):
             self._state.gangs.cancel(task)
             return True
         running = self._state.running.find(task)
@@ -235,7 +235,7 @@
             self._state.queue_of(entry).cancel(running.task)
         self._state.add_running(running)
         if running.kind is Kind.GANG:
-            self._state.gangs.note_adopted(running, entry.members if entry else ())
+            self._state.gangs.record_adoption(running, entry.members if entry else ())
 
     def task_ended(
         self, task: TaskId, ending: EndStatus, now_ms: int
@@ -255,11 +255,11 @@
         stopping = self._state.remove_running(running)
         self._note_health(running, ending, stopping, now_ms)
         is_dropped = stopping is not None and not stopping.is_requeued
-        is_again = ending is not EndStatus.DONE and not is_dropped
+        must_restart = ending is not EndStatus.DONE and not is_dropped
         has_failed = ending is EndStatus.FAILED and stopping is None
         if running.kind is Kind.GANG:
-            return self._member_ended(running, is_again, has_failed, now_ms)
-        if not is_again:
+            return self._member_ended(running, must_restart, has_failed, now_ms)
+        if not must_restart:
             return None
         if has_failed:
             return _with_attempt(running.to_queued())
@@ -293,7 +293,7 @@
         reservation = state.reservations.find(task)
         if reservation is not None:
             return reservation.reason
-        if state.gangs.is_waiting(task):
+        if state.gangs.is_awaiting_restart(task):
             return "waiting: the rest of its gang has not ended yet"
         entry = state.find_queued(task)
         if entry is None:
@@ -302,9 +302,9 @@
         return reason or state.requeue_reason_by_task.get(task, WAITING_IN_QUEUE)
 
     def _member_ended(
-        self, running: RunningTask, is_again: bool, has_failed: bool, now_ms: int
+        self, running: RunningTask, must_restart: bool, has_failed: bool, now_ms: int
     ) -> QueuedTask | None:
-        end = self._state.gangs.note_end(running, is_again, has_failed)
+        end = self._state.gangs.record_end(running, must_restart, has_failed)
         if end.must_stop_others:
             for other in self._state.running.tasks_of_job(running.task.job_id):
                 self._state.stop(other, StopMode.STOP, GANG_MEMBER_ENDED)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -8,7 +8,7 @@
 import attrs
 
 from marjoramgrade.decisions.actions import StartTask, StopMode, StopTask
-from marjoramgrade.decisions.gang_runs import GangBook
+from marjoramgrade.decisions.gang_runs import GangRuns
 from marjoramgrade.decisions.health import WorkerHealth
 from marjoramgrade.decisions.placement import PLACEMENTS, Placement
 from marjoramgrade.decisions.preemption import PREEMPTIONS, Preemption
@@ -57,7 +57,7 @@
         self.running = RunningTasks()
         self.health = WorkerHealth()
         self.reservations = Reservations(self.pool)
-        self.gangs = GangBook()
+        self.gangs = GangRuns()
         self.may_start = may_start
         self.requeue_reason_by_task: dict[TaskId, str] = {}
         self._pending_stops: list[tuple[RunningTask, StopTask]] = []
@@ -90,7 +90,7 @@
         return (
             self.running.find(task) is not None
             or self.reservations.find(task) is not None
-            or self.gangs.is_waiting(task)
+            or self.gangs.is_awaiting_restart(task)
         )
 
     def requeue(self, entry: QueuedTask, now_ms: int, note: str) -> None:
@@ -113,7 +113,7 @@
         for task, worker_id in zip(entry.iter_tasks(), worker_ids, strict=True):
             self.pool.allocate(worker_id, entry.resources)
             self.add_running(RunningTask.from_queued(entry, task, worker_id, now_ms))
-            self.health.note_start(worker_id, now_ms)
+            self.health.record_start(worker_id, now_ms)
             starts.append(StartTask(task, worker_id, entry.resources))
         return starts
 
@@ -123,7 +123,7 @@
         self.running.add(running)
         self.shares.charge(running.team, running.resources)
         if running.kind is Kind.GANG:
-            self.gangs.note_start(running)
+            self.gangs.record_start(running)
 
     def remove_running(self, running: RunningTask) -> StopRequest | None:
         """Release the room of a task that has ended."""
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -62,11 +62,11 @@
         health.note_failure("w-0", f"j-{index}", 0)
     assert health.avoided(BACKOFF_BASE_MS - 1) == {"w-0"}
     assert health.avoided(BACKOFF_BASE_MS) == frozenset()
-    health.note_start("w-0", BACKOFF_BASE_MS)
+    health.record_start("w-0", BACKOFF_BASE_MS)
     assert health.avoided(BACKOFF_BASE_MS) == {"w-0"}
     health.note_failure("w-0", "probe", BACKOFF_BASE_MS)
     assert health.avoided(3 * BACKOFF_BASE_MS - 1) == {"w-0"}
-    health.note_start("w-0", 3 * BACKOFF_BASE_MS)
+    health.record_start("w-0", 3 * BACKOFF_BASE_MS)
     health.note_success("w-0", "probe", 3 * BACKOFF_BASE_MS)
     assert health.avoided(3 * BACKOFF_BASE_MS) == frozenset()
 
@@ -77,6 +77,6 @@
     for index in range(SUSPECT_AFTER):
         health.note_failure("w-0", f"j-{index}", 0)
     health.avoided(BACKOFF_BASE_MS)
-    health.note_start("w-0", BACKOFF_BASE_MS)
+    health.record_start("w-0", BACKOFF_BASE_MS)
     health.note_neutral_end("w-0", BACKOFF_BASE_MS + 1)
     assert health.avoided(BACKOFF_BASE_MS + 1) == frozenset()
