--- a/marjoramgrade/decisions/health.py
+++ b/marjoramgrade/decisions/health.py
@@ -8,12 +8,12 @@
 
 # Failures that count before a worker is suspected. Below the ten that the target
 # allows, and above what a flaky job produces on a sound worker by chance.
-SUSPECT_AFTER = 5
+SUSPECT_AFTER_FAILURES = 5
 BACKOFF_BASE_MS = 10_000
 BACKOFF_MAX_MS = 1_800_000
 # A job that failed on this many workers and succeeded on none is itself at fault.
 FAULTY_JOB_WORKERS = 3
-JOBS_REMEMBERED = 4_096
+MAX_TRACKED_JOBS = 4_096
 
 
 @attrs.define
@@ -65,7 +65,7 @@
             self._state_by_worker[worker_id].is_probing = True
             self._refresh(now_ms)
 
-    def note_success(self, worker_id: str, job_id: str, now_ms: int) -> None:
+    def record_success(self, worker_id: str, job_id: str, now_ms: int) -> None:
         """Take note of a task that ended well; the worker is trusted again."""
         self._job(job_id).has_succeeded = True
         self._state_by_worker.pop(worker_id, None)
@@ -73,7 +73,7 @@
             self._suspects.discard(worker_id)
             self._refresh(now_ms)
 
-    def note_failure(self, worker_id: str, job_id: str, now_ms: int) -> None:
+    def record_failure(self, worker_id: str, job_id: str, now_ms: int) -> None:
         """Take note of a task that failed or could not start."""
         self._job(job_id).failed_on.add(worker_id)
         state = self._state_by_worker.setdefault(worker_id, _WorkerState())
@@ -83,18 +83,18 @@
                 self._refresh(now_ms)
             return
         state.failures.append(job_id)
-        if self._weight_of(state) >= SUSPECT_AFTER:
+        if self._weight_of(state) >= SUSPECT_AFTER_FAILURES:
             self._suspects.add(worker_id)
             self._back_off(state, now_ms)
             self._refresh(now_ms)
 
-    def note_neutral_end(self, worker_id: str, now_ms: int) -> None:
+    def record_inconclusive_end(self, worker_id: str, now_ms: int) -> None:
         """Take note of an end that says nothing, such as a cancelled probe."""
         if worker_id in self._suspects:
             self._state_by_worker[worker_id].is_probing = False
             self._refresh(now_ms)
 
-    def forget_worker(self, worker_id: str) -> None:
+    def remove_worker(self, worker_id: str) -> None:
         """Drop what is known about a worker that has gone."""
         self._state_by_worker.pop(worker_id, None)
         self._suspects.discard(worker_id)
@@ -103,7 +103,7 @@
     def _job(self, job_id: str) -> _JobState:
         state = self._state_by_job.setdefault(job_id, _JobState())
         self._state_by_job.move_to_end(job_id)
-        if len(self._state_by_job) > JOBS_REMEMBERED:
+        if len(self._state_by_job) > MAX_TRACKED_JOBS:
             self._state_by_job.popitem(last=False)
         return state
 
@@ -111,14 +111,14 @@
         """Return how many failures of a worker its jobs do not explain."""
         weight = 0
         counted: set[str] = set()
-        for job_id in state.failures[-4 * SUSPECT_AFTER :]:
+        for job_id in state.failures[-4 * SUSPECT_AFTER_FAILURES :]:
             job = self._state_by_job.get(job_id, _JobState())
             if job.has_succeeded:
                 weight += 1
             elif not job.is_faulty and job_id not in counted:
                 counted.add(job_id)
                 weight += 1
-        del state.failures[: -4 * SUSPECT_AFTER]
+        del state.failures[: -4 * SUSPECT_AFTER_FAILURES]
         return weight
 
     def _back_off(self, state: _WorkerState, now_ms: int) -> None:
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -209,7 +209,7 @@
             self.task_ended(running.task, EndStatus.LOST, now_ms)
         self.pool.remove(worker_id)
         self.shares.set_total(self.pool.total_capacity)
-        self._state.health.forget_worker(worker_id)
+        self._state.health.remove_worker(worker_id)
         return [running.task for running in lost]
 
     def adopt(self, running: RunningTask) -> None:
@@ -324,11 +324,11 @@
     ) -> None:
         health, job_id = self._state.health, running.task.job_id
         if ending is EndStatus.DONE:
-            health.note_success(running.worker_id, job_id, now_ms)
+            health.record_success(running.worker_id, job_id, now_ms)
         elif stopping is None and ending in (EndStatus.FAILED, EndStatus.REFUSED):
-            health.note_failure(running.worker_id, job_id, now_ms)
+            health.record_failure(running.worker_id, job_id, now_ms)
         else:
-            health.note_neutral_end(running.worker_id, now_ms)
+            health.record_inconclusive_end(running.worker_id, now_ms)
 
 
 def _with_attempt(entry: QueuedTask) -> QueuedTask:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,7 +1,11 @@
 import random
 
 from marjoramgrade.decisions.actions import EndStatus
-from marjoramgrade.decisions.health import BACKOFF_BASE_MS, SUSPECT_AFTER, WorkerHealth
+from marjoramgrade.decisions.health import (
+    BACKOFF_BASE_MS,
+    SUSPECT_AFTER_FAILURES,
+    WorkerHealth,
+)
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.model import TaskId
 from tests.scheduling import node, queued, scheduler_of, started
@@ -40,7 +44,7 @@
     """Guards against a faulty job that takes the cell out of service."""
     health = WorkerHealth()
     for index in range(200):
-        health.note_failure(EVERYWHERE[index % 8], "faulty", index)
+        health.record_failure(EVERYWHERE[index % 8], "faulty", index)
     assert health.avoided(200) == frozenset()
     times = starts_by_worker(bad="-", faulty_job="j-0", rounds=60)
     assert sum(len(each) for each in times.values()) == 60 * 24
@@ -49,34 +53,34 @@
 def test_failures_of_many_jobs_on_one_worker_count() -> None:
     """Guards against a bad worker whose jobs have run nowhere else yet."""
     health = WorkerHealth()
-    for index in range(SUSPECT_AFTER):
+    for index in range(SUSPECT_AFTER_FAILURES):
         assert health.avoided(index) == frozenset()
-        health.note_failure("w-0", f"j-{index}", index)
-    assert health.avoided(SUSPECT_AFTER) == {"w-0"}
+        health.record_failure("w-0", f"j-{index}", index)
+    assert health.avoided(SUSPECT_AFTER_FAILURES) == {"w-0"}
 
 
 def test_one_probe_runs_after_the_back_off_and_success_ends_it() -> None:
     """Guards against a burst on a suspected worker, and one that never returns."""
     health = WorkerHealth()
-    for index in range(SUSPECT_AFTER):
-        health.note_failure("w-0", f"j-{index}", 0)
+    for index in range(SUSPECT_AFTER_FAILURES):
+        health.record_failure("w-0", f"j-{index}", 0)
     assert health.avoided(BACKOFF_BASE_MS - 1) == {"w-0"}
     assert health.avoided(BACKOFF_BASE_MS) == frozenset()
     health.record_start("w-0", BACKOFF_BASE_MS)
     assert health.avoided(BACKOFF_BASE_MS) == {"w-0"}
-    health.note_failure("w-0", "probe", BACKOFF_BASE_MS)
+    health.record_failure("w-0", "probe", BACKOFF_BASE_MS)
     assert health.avoided(3 * BACKOFF_BASE_MS - 1) == {"w-0"}
     health.record_start("w-0", 3 * BACKOFF_BASE_MS)
-    health.note_success("w-0", "probe", 3 * BACKOFF_BASE_MS)
+    health.record_success("w-0", "probe", 3 * BACKOFF_BASE_MS)
     assert health.avoided(3 * BACKOFF_BASE_MS) == frozenset()
 
 
 def test_a_probe_that_ends_without_a_verdict_allows_another() -> None:
     """Guards against a worker that stays suspected since its probe was cancelled."""
     health = WorkerHealth()
-    for index in range(SUSPECT_AFTER):
-        health.note_failure("w-0", f"j-{index}", 0)
+    for index in range(SUSPECT_AFTER_FAILURES):
+        health.record_failure("w-0", f"j-{index}", 0)
     health.avoided(BACKOFF_BASE_MS)
     health.record_start("w-0", BACKOFF_BASE_MS)
-    health.note_neutral_end("w-0", BACKOFF_BASE_MS + 1)
+    health.record_inconclusive_end("w-0", BACKOFF_BASE_MS + 1)
     assert health.avoided(BACKOFF_BASE_MS + 1) == frozenset()
