--- a/bench/driver.py
+++ b/bench/driver.py
@@ -107,11 +107,11 @@
         """Return the number of queued tasks of a team in a zone."""
         return self.schedulers[zone].queued_count_of(team)
 
-    def use_of(self, team: str) -> Resources:
+    def usage_of(self, team: str) -> Resources:
         """Return what a team uses in all zones."""
         total = Resources()
         for scheduler in self.schedulers:
-            total = total + scheduler.shares.use_of(team)
+            total = total + scheduler.shares.usage_of(team)
         return total
 
     def done(self) -> Resources:
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -123,7 +123,7 @@
     scheduler = cell.schedulers[zone]
     used = Resources()
     for team in cell.deployment.teams:
-        used = used + scheduler.shares.use_of(team.name)
+        used = used + scheduler.shares.usage_of(team.name)
     return scheduler.queued_count, used.dominant_share(scheduler.pool.total_capacity)
 
 
@@ -145,7 +145,7 @@
             continue
         if (now_ms - WARM_UP_MS) % WINDOW_MS == 0:
             windows.append(dict.fromkeys(fair, 0.0))
-        use_by_team = {team: cell.use_of(team) for team in fair}
+        use_by_team = {team: cell.usage_of(team) for team in fair}
         for team, use in use_by_team.items():
             windows[-1][team] += use.dominant_share(total) / ticks_per_window
         packed.append(sum(use_by_team.values(), Resources()).dominant_share(total))
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -9,7 +9,7 @@
 from marjoramgrade.controllers.grantkeeper import GrantKeeper
 from marjoramgrade.controllers.outboxes import Outboxes
 from marjoramgrade.decisions.actions import EndStatus, StartTask
-from marjoramgrade.decisions.excess import choose_excess
+from marjoramgrade.decisions.excess import choose_excess_tasks
 from marjoramgrade.decisions.outcomes import PendingOutcomes
 from marjoramgrade.decisions.retries import RETRY_POLICIES, RetryPolicy, TaskAttempts
 from marjoramgrade.decisions.scheduler import Scheduler
@@ -99,7 +99,7 @@
         scheduler = Scheduler.from_config(
             policies_by_kind,
             lambda team, amount: grants.may_use(
-                team, amount, scheduler.shares.use_of(team)
+                team, amount, scheduler.shares.usage_of(team)
             ),
         )
         reconciliation = Reconciliation(roster.worker_ids, now_ms)
@@ -130,13 +130,13 @@
     def use_by_team(self) -> dict[str, Resources]:
         """Return what each team with running tasks uses."""
         shares = self.scheduler.shares
-        return {team: shares.use_of(team) for team in self.scheduler.running.teams()}
+        return {team: shares.usage_of(team) for team in self.scheduler.running.teams()}
 
     def stop_excess(self) -> None:
         """Stop the newest tasks of teams that are above a lowered limit."""
         for team, in_use in self.use_by_team().items():
             excess = self.grants.excess(team, in_use)
-            for task in choose_excess(self.scheduler.running, team, excess):
+            for task in choose_excess_tasks(self.scheduler.running, team, excess):
                 self.scheduler.stop(task, ABOVE_LIMIT, is_requeued=True)
 
     def job_changed(self, stored: StoredJob, now_ms: int) -> None:
--- a/marjoramgrade/decisions/excess.py
+++ b/marjoramgrade/decisions/excess.py
@@ -12,7 +12,9 @@
 STOP_ORDER = (Kind.BATCH, Kind.GANG, Kind.SERVICE)
 
 
-def choose_excess(running: RunningTasks, team: str, excess: Resources) -> list[TaskId]:
+def choose_excess_tasks(
+    running: RunningTasks, team: str, excess: Resources
+) -> list[TaskId]:
     """Return the newest tasks of a team that free an amount, services last.
 
     Args:
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -9,7 +9,7 @@
 
 from marjoramgrade.decisions.placement import NONE_AVOIDED
 from marjoramgrade.decisions.running import RunningTasks
-from marjoramgrade.decisions.shares import ShareBook
+from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.model import Kind, Priority
@@ -35,7 +35,7 @@
     def choose(
         self,
         running: RunningTasks,
-        shares: ShareBook,
+        shares: TeamShares,
         pool: WorkerPool,
         request: Resources,
         avoid_workers: frozenset[str] = NONE_AVOIDED,
@@ -64,7 +64,7 @@
     def choose(
         self,
         running: RunningTasks,
-        shares: ShareBook,
+        shares: TeamShares,
         pool: WorkerPool,
         request: Resources,
         avoid_workers: frozenset[str] = NONE_AVOIDED,
@@ -85,7 +85,7 @@
     def choose(
         self,
         running: RunningTasks,
-        shares: ShareBook,
+        shares: TeamShares,
         pool: WorkerPool,
         request: Resources,
         avoid_workers: frozenset[str] = NONE_AVOIDED,
@@ -113,8 +113,10 @@
         return None
 
 
-def _iter_victims(running: RunningTasks, shares: ShareBook) -> Iterator[RunningTask]:
-    teams = sorted(running.teams(), key=lambda team: (-shares.level_of(team), team))
+def _iter_victims(running: RunningTasks, shares: TeamShares) -> Iterator[RunningTask]:
+    teams = sorted(
+        running.teams(), key=lambda team: (-shares.weighted_share_of(team), team)
+    )
     for kind in VICTIM_ORDER:
         for team in teams:
             yield from running.iter_newest(team, kind, Priority.NORMAL)
--- a/marjoramgrade/decisions/queue_orders.py
+++ b/marjoramgrade/decisions/queue_orders.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from marjoramgrade.decisions.shares import ShareBook
+from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.model import Kind
 from marjoramgrade.registry import Registry
@@ -84,7 +84,7 @@
     is_stable: ClassVar[bool]
 
     @classmethod
-    def from_config(cls, shares: ShareBook) -> QueueOrder:
+    def from_config(cls, shares: TeamShares) -> QueueOrder:
         """Return an order that may look at the use of the teams."""
         ...
 
@@ -110,10 +110,10 @@
 
     is_stable: ClassVar[bool] = True
 
-    shares: ShareBook
+    shares: TeamShares
 
     @classmethod
-    def from_config(cls, shares: ShareBook) -> WeightedDrf:
+    def from_config(cls, shares: TeamShares) -> WeightedDrf:
         """Return an order over these shares."""
         return cls(shares)
 
@@ -131,7 +131,7 @@
     is_stable: ClassVar[bool] = False
 
     @classmethod
-    def from_config(cls, shares: ShareBook) -> Fifo:
+    def from_config(cls, shares: TeamShares) -> Fifo:
         """Return an order that ignores shares."""
         return cls()
 
--- a/marjoramgrade/decisions/requestqueue.py
+++ b/marjoramgrade/decisions/requestqueue.py
@@ -25,18 +25,18 @@
         self._length += 1
 
     def pop(
-        self, may_run: Callable[[str], bool], level_of: Callable[[str], float]
+        self, may_run: Callable[[str], bool], weighted_usage_of: Callable[[str], float]
     ) -> T | None:
         """Remove and return the request that should run next.
 
         Args:
             may_run: Returns whether a team may use another slot.
-            level_of: Returns what a team uses in relation to its share.
+            weighted_usage_of: Returns what a team uses in relation to its share.
 
         Returns:
             The request, or None if no team with waiting requests may run one.
         """
-        for team in sorted(self._waiting_by_team, key=level_of):
+        for team in sorted(self._waiting_by_team, key=weighted_usage_of):
             if may_run(team):
                 return self._pop_first(team)
         return None
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -146,7 +146,9 @@
     def _excess_of(self, team: str) -> float:
         """Return how far a team is above the mean level of the waiting teams."""
         if self._mean_level is None:
-            self._mean_level = self.state.shares.mean_level(self._waiting_teams)
+            self._mean_level = self.state.shares.mean_weighted_share(
+                self._waiting_teams
+            )
         return self.state.shares.excess_of(team, self._mean_level)
 
     def _place_new(self, entry: QueuedTask) -> list[str] | None:
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -22,7 +22,7 @@
     MayStart,
     ShardState,
 )
-from marjoramgrade.decisions.shares import ShareBook
+from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
 from marjoramgrade.decisions.workers import WorkerNode, WorkerPool
 from marjoramgrade.model import Kind, TaskId, Team
@@ -86,7 +86,7 @@
         return self._state.running
 
     @property
-    def shares(self) -> ShareBook:
+    def shares(self) -> TeamShares:
         """What each team uses; to be read only."""
         return self._state.shares
 
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -15,7 +15,7 @@
 from marjoramgrade.decisions.queues import QUEUE_ORDERS, TaskQueue
 from marjoramgrade.decisions.reservations import Reservation, Reservations
 from marjoramgrade.decisions.running import RunningTasks, StopRequest
-from marjoramgrade.decisions.shares import ShareBook
+from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.model import Kind, TaskId
@@ -53,7 +53,7 @@
         self, policies_by_kind: Mapping[Kind, Policies], may_start: MayStart
     ) -> None:
         self.pool = WorkerPool()
-        self.shares = ShareBook()
+        self.shares = TeamShares()
         self.running = RunningTasks()
         self.health = WorkerHealth()
         self.reservations = Reservations(self.pool)
--- a/marjoramgrade/decisions/shares.py
+++ b/marjoramgrade/decisions/shares.py
@@ -11,7 +11,7 @@
 
 from marjoramgrade.resources import NOTHING, Resources
 
-AMOUNTS = ("cpu_millis", "memory_mib", "accelerators", "slots")
+RESOURCE_FIELDS = ("cpu_millis", "memory_mib", "accelerators", "slots")
 
 
 def fair_shares(
@@ -38,11 +38,11 @@
         team: _fractions(demand_by_team[team], total, wanted[team]) for team in active
     }
     shares = dict.fromkeys(demand_by_team, 0.0)
-    left = [1.0] * len(AMOUNTS)
+    left = [1.0] * len(RESOURCE_FIELDS)
     while active:
         rates = [
             sum(weights[team] * slopes[team][i] for team in active)
-            for i in range(len(AMOUNTS))
+            for i in range(len(RESOURCE_FIELDS))
         ]
         growth = min(
             *(max(0.0, left[i]) / rate for i, rate in enumerate(rates) if rate),
@@ -62,11 +62,11 @@
 
 
 def _fractions(demand: Resources, total: Resources, dominant: float) -> list[float]:
-    pairs = ((getattr(demand, name), getattr(total, name)) for name in AMOUNTS)
+    pairs = ((getattr(demand, name), getattr(total, name)) for name in RESOURCE_FIELDS)
     return [need / whole / dominant if whole else 0.0 for need, whole in pairs]
 
 
-class ShareBook:
+class TeamShares:
     """What each team uses in one shard, as a weighted dominant share."""
 
     def __init__(self) -> None:
@@ -90,35 +90,35 @@
 
     def charge(self, team: str, amount: Resources) -> None:
         """Count an amount as used."""
-        self._use_by_team[team] = self.use_of(team) + amount
+        self._use_by_team[team] = self.usage_of(team) + amount
         self._update_level(team)
 
     def refund(self, team: str, amount: Resources) -> None:
         """Count an amount as no longer used."""
-        self._use_by_team[team] = self.use_of(team) - amount
+        self._use_by_team[team] = self.usage_of(team) - amount
         self._update_level(team)
 
-    def use_of(self, team: str) -> Resources:
+    def usage_of(self, team: str) -> Resources:
         """Return what a team uses."""
         return self._use_by_team.get(team, NOTHING)
 
-    def level_of(self, team: str) -> float:
+    def weighted_share_of(self, team: str) -> float:
         """Return the dominant share of a team divided by its weight."""
         return self._level_by_team.get(team, 0.0)
 
-    def mean_level(self, teams: Iterable[str]) -> float:
+    def mean_weighted_share(self, teams: Iterable[str]) -> float:
         """Return the level at which some teams would have equal weighted shares."""
         share = weight = 0.0
         for team in teams:
             team_weight = self._weight_by_team.get(team, 1)
             weight += team_weight
-            share += self.level_of(team) * team_weight
+            share += self.weighted_share_of(team) * team_weight
         return share / weight if weight else 0.0
 
     def excess_of(self, team: str, level: float) -> float:
         """Return the dominant share that a team has above a level."""
         weight = self._weight_by_team.get(team, 1)
-        return weight * (self.level_of(team) - level)
+        return weight * (self.weighted_share_of(team) - level)
 
     def next_team(self, teams: Iterable[str]) -> str:
         """Return the team that is furthest below its share.
@@ -142,7 +142,7 @@
         """
         fair = fair_shares(self._total, self._weight_by_team, demand_by_team)
         return {
-            team: self.use_of(team).dominant_share(self._total) - share
+            team: self.usage_of(team).dominant_share(self._total) - share
             for team, share in fair.items()
         }
 
--- a/tests/test_excess.py
+++ b/tests/test_excess.py
@@ -1,4 +1,4 @@
-from marjoramgrade.decisions.excess import choose_excess
+from marjoramgrade.decisions.excess import choose_excess_tasks
 from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.model import Kind, Priority, TaskId
@@ -23,5 +23,8 @@
     ):
         book.add(_running(job_id, kind, started_ms))
     amount = Resources(cpu_millis=1500)
-    assert choose_excess(book, "acme", amount) == [TaskId("new", 0), TaskId("old", 0)]
-    assert choose_excess(book, "acme", Resources()) == []
+    assert choose_excess_tasks(book, "acme", amount) == [
+        TaskId("new", 0),
+        TaskId("old", 0),
+    ]
+    assert choose_excess_tasks(book, "acme", Resources()) == []
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -7,14 +7,16 @@
     DuplicateTaskError,
     TaskQueue,
 )
-from marjoramgrade.decisions.shares import ShareBook
+from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.errors import OverloadedError
 from marjoramgrade.model import Priority, TaskId
 from tests.scheduling import amount, queued
 
 
-def queue_of(order: str = "weighted_drf", shares: ShareBook | None = None) -> TaskQueue:
-    return TaskQueue(QUEUE_ORDERS.get(order).from_config(shares or ShareBook()))
+def queue_of(
+    order: str = "weighted_drf", shares: TeamShares | None = None
+) -> TaskQueue:
+    return TaskQueue(QUEUE_ORDERS.get(order).from_config(shares or TeamShares()))
 
 
 def drain(queue: TaskQueue, priority: Priority = Priority.NORMAL) -> list[str]:
@@ -27,7 +29,7 @@
 
 def test_the_team_furthest_below_its_share_goes_first() -> None:
     """Guards against an order that ignores use and weight."""
-    shares = ShareBook()
+    shares = TeamShares()
     shares.set_total(amount(10))
     shares.set_weights({"a": 1, "b": 3})
     shares.charge("a", amount(2))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -102,7 +102,7 @@
     policies = {kind: Policies() for kind in Kind}
 
     def may_start(team, resources) -> bool:
-        return scheduler.shares.use_of(team).cpu_millis + resources.cpu_millis <= 2000
+        return scheduler.shares.usage_of(team).cpu_millis + resources.cpu_millis <= 2000
 
     scheduler = Scheduler.from_config(policies, may_start)
     scheduler.add_worker(node("w-0"))
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -171,7 +171,7 @@
         assert self.scheduler.running_count == len(self.placed)
         for task in self.owed:
             assert self.scheduler.reason_of(task) != ""
-        used = {team: self.scheduler.shares.use_of(team) for team in "abc"}
+        used = {team: self.scheduler.shares.usage_of(team) for team in "abc"}
         total = sum(each.cpu_millis for each in used.values())
         assert total == sum(r.cpu_millis for _, r in self.placed.values())
 
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,6 +1,6 @@
 import pytest
 
-from marjoramgrade.decisions.shares import ShareBook, fair_shares
+from marjoramgrade.decisions.shares import TeamShares, fair_shares
 from tests.scheduling import amount
 
 
@@ -21,7 +21,7 @@
 
 def test_the_distance_is_positive_above_the_share_and_negative_below() -> None:
     """Guards against a distance that hides which team gets too much."""
-    book = ShareBook()
+    book = TeamShares()
     book.set_total(amount(10))
     book.charge("a", amount(7))
     book.charge("b", amount(3))
@@ -31,7 +31,7 @@
 
 def test_a_changed_total_or_weight_changes_the_order() -> None:
     """Guards against levels that were worked out for an older cell."""
-    book = ShareBook()
+    book = TeamShares()
     book.set_total(amount(10, 10))
     book.charge("a", amount(4, 1))
     book.charge("b", amount(1, 5))
