--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -233,7 +233,7 @@
         Requests of a previous owner, and those that were given up on, may be of
         any team, so they count for every team.
         """
-        slots = self._running_by_team[team] + self._slots.foreign_total()
+        slots = self._running_by_team[team] + self._slots.untracked_total()
         return Resources(slots=slots)
 
     def _level_of(self, team: str) -> float:
@@ -333,7 +333,7 @@
         teams = self._config.teams_by_name
         await self._grants.refresh(
             {team: self._use_of(team) for team in teams},
-            is_reconciled=self._slots.foreign_total() == 0,
+            is_reconciled=self._slots.untracked_total() == 0,
         )
 
     def _probe_due(self, now_ms: int) -> None:
@@ -355,7 +355,7 @@
         except MarjoramgradeError:
             slots.mark_failed(backend_id, self._clock.now_ms())
         else:
-            slots.fenced(backend_id, answer.in_use, asked_ms)
+            slots.record_count(backend_id, answer.in_use, asked_ms)
             if slots is self._slots:
                 self._dispatch(backend.service)
         finally:
--- a/marjoramgrade/decisions/slots.py
+++ b/marjoramgrade/decisions/slots.py
@@ -15,7 +15,7 @@
 MAX_BACKOFF_MS = 8_000
 FAILED_ANSWERS_ALLOWED = 3
 # A request on a broken connection may still reach the server this much later.
-ABANDONED_SETTLE_MS = 1_000
+LATE_ARRIVAL_MS = 1_000
 # Probes with no lower count before a server is emptied to get an exact one.
 RECOUNT_AFTER_PROBES = 5
 
@@ -29,13 +29,13 @@
         service: The service that it runs.
         capacity: Requests that it takes at once: the smaller of its slots and
             its connections, since each request uses one of both.
-        held: Requests of this owner that wait for an answer.
-        foreign: Upper bound on slots held by requests of earlier owners and by
+        in_flight: Requests of this owner that wait for an answer.
+        untracked: Upper bound on slots held by requests of earlier owners and by
             requests that this owner gave up on.
         is_counted: Whether the server gave its count under the current epoch
             after it was added or failed.
-        settled_ms: A count asked for before this time is ignored, since it may
-            lack a request that was given up on the way to the server.
+        late_arrival_until_ms: A count asked for before this time is ignored, since it
+            may lack a request that was given up on the way to the server.
         failures: Failed connections in a row.
         failed_ms: Time of the last failure.
         failed_answers: Requests in a row that the server ran and failed.
@@ -45,13 +45,13 @@
     backend_id: str
     service: str
     capacity: int
-    held: int = 0
-    foreign: int = 0
+    in_flight: int = 0
+    untracked: int = 0
     is_counted: bool = False
     is_leaving: bool = False
     is_removed: bool = False
     is_recounting: bool = False
-    settled_ms: int = 0
+    late_arrival_until_ms: int = 0
     failures: int = 0
     failed_ms: int = -1
     probe_ms: int = 0
@@ -61,7 +61,7 @@
     @property
     def in_use(self) -> int:
         """Slots that may be in use."""
-        return self.held + self.foreign
+        return self.in_flight + self.untracked
 
     @property
     def is_selectable(self) -> bool:
@@ -80,34 +80,38 @@
             return False
         if not self.is_counted:
             return now_ms >= self.probe_ms
-        return self.foreign > 0
+        return self.untracked > 0
 
-    def take_count(self, in_use: int, asked_ms: int) -> None:
+    def apply_count(self, in_use: int, asked_ms: int) -> None:
         """Take over a count that the server gave under the current epoch.
 
-        The count may or may not include requests in `held`, so all of it may be
+        The count may or may not include requests in `in_flight`, so all of it may be
         foreign. Foreign requests do not grow in number behind the fence.
         """
-        if asked_ms < self.settled_ms:
+        if asked_ms < self.late_arrival_until_ms:
             return
         if not self.is_counted:
-            self.foreign = in_use
+            self.untracked = in_use
             self.is_counted = True
-        elif in_use < self.foreign:
-            self.foreign = in_use
+        elif in_use < self.untracked:
+            self.untracked = in_use
             self._stale_probes = 0
         else:
             self._stale_probes += 1
         self._choose_recount()
 
     def _choose_recount(self) -> None:
-        # A busy server never reports a count below `foreign`, since its count
+        # A busy server never reports a count below `untracked`, since its count
         # includes this owner's requests. Letting those end gives an exact one.
         if self.is_recounting:
-            self.is_recounting = self.held > 0
-        elif self.foreign and self.held and self._stale_probes >= RECOUNT_AFTER_PROBES:
+            self.is_recounting = self.in_flight > 0
+        elif (
+            self.untracked
+            and self.in_flight
+            and self._stale_probes >= RECOUNT_AFTER_PROBES
+        ):
             self.is_recounting = True
-        if not self.held or self.is_recounting:
+        if not self.in_flight or self.is_recounting:
             self._stale_probes = 0
 
 
@@ -173,7 +177,7 @@
         backoff_ms = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS << exponent)
         backend.probe_ms = now_ms + backoff_ms
 
-    def fenced(self, backend_id: str, in_use: int, asked_ms: int) -> None:
+    def record_count(self, backend_id: str, in_use: int, asked_ms: int) -> None:
         """Take over the count that a server gave under the current epoch.
 
         Args:
@@ -183,7 +187,7 @@
         """
         backend = self._backend_by_id.get(backend_id)
         if backend is not None and asked_ms > backend.failed_ms:
-            backend.take_count(in_use, asked_ms)
+            backend.apply_count(in_use, asked_ms)
 
     def acquire(self, service: str) -> str | None:
         """Take a slot for a request.
@@ -200,7 +204,7 @@
             return None
         choices = self.rng.sample(free, min(2, len(free)))
         backend = min(choices, key=lambda choice: choice.in_use / choice.capacity)
-        backend.held += 1
+        backend.in_flight += 1
         return backend.backend_id
 
     def release(self, backend_id: str) -> None:
@@ -239,9 +243,11 @@
             ValueError: If this owner holds no slot of the server.
         """
         backend = self._end_request(backend_id)
-        backend.foreign += 1
-        settled_ms = now_ms + ABANDONED_SETTLE_MS
-        backend.settled_ms = max(backend.settled_ms, settled_ms)
+        backend.untracked += 1
+        late_arrival_until_ms = now_ms + LATE_ARRIVAL_MS
+        backend.late_arrival_until_ms = max(
+            backend.late_arrival_until_ms, late_arrival_until_ms
+        )
 
     def due_probes(self, now_ms: int) -> tuple[str, ...]:
         """Return the servers that should be asked for their count now.
@@ -260,9 +266,9 @@
         backends = self._backend_by_id.values()
         return sum(backend.free for backend in backends if backend.service == service)
 
-    def foreign_total(self) -> int:
+    def untracked_total(self) -> int:
         """Return how many slots requests of unknown teams may hold."""
-        return sum(backend.foreign for backend in self._backend_by_id.values())
+        return sum(backend.untracked for backend in self._backend_by_id.values())
 
     def backend_ids(self) -> set[str]:
         """Return the servers that may be used."""
@@ -275,13 +281,15 @@
 
     def _end_request(self, backend_id: str) -> BackendSlots:
         backend = self._backend_by_id.get(backend_id)
-        if backend is None or backend.held == 0:
+        if backend is None or backend.in_flight == 0:
             raise ValueError(f"no slot of {backend_id!r} is held")
-        backend.held -= 1
+        backend.in_flight -= 1
         return backend
 
     def _forget_removed(self, now_ms: int) -> None:
         for backend in list(self._backend_by_id.values()):
-            is_ended = backend.held == 0 and now_ms >= backend.settled_ms
+            is_ended = (
+                backend.in_flight == 0 and now_ms >= backend.late_arrival_until_ms
+            )
             if backend.is_removed and is_ended:
                 del self._backend_by_id[backend.backend_id]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -14,9 +14,9 @@
 
 from marjoramgrade.decisions.fencing import EpochFence
 from marjoramgrade.decisions.slots import (
-    ABANDONED_SETTLE_MS,
     FAILED_ANSWERS_ALLOWED,
     FIRST_BACKOFF_MS,
+    LATE_ARRIVAL_MS,
     MAX_BACKOFF_MS,
     RECOUNT_AFTER_PROBES,
     BackendSlots,
@@ -39,7 +39,7 @@
     pool = SlotPool(random.Random(1))
     for backend_id in backend_ids:
         pool.add(backend_id, "quick", slots, 64)
-        pool.fenced(backend_id, 0, asked_ms=0)
+        pool.record_count(backend_id, 0, asked_ms=0)
     return pool
 
 
@@ -48,7 +48,7 @@
     pool = SlotPool(random.Random(1))
     pool.add("b1", "quick", 8, 64)
     assert pool.acquire("quick") is None
-    pool.fenced("b1", 7, asked_ms=0)
+    pool.record_count("b1", 7, asked_ms=0)
     assert [pool.acquire("quick") for _ in range(2)] == ["b1", None]
 
 
@@ -56,7 +56,7 @@
     """Guards against more connections than the server takes."""
     pool = SlotPool(random.Random(1))
     pool.add("b1", "quick", 8, 1)
-    pool.fenced("b1", 0, asked_ms=0)
+    pool.record_count("b1", 0, asked_ms=0)
     assert [pool.acquire("quick") for _ in range(2)] == ["b1", None]
 
 
@@ -84,9 +84,9 @@
         pauses.append(next(due))
     assert pauses == sorted(pauses)
     assert pauses[0] < pauses[-1] == MAX_BACKOFF_MS
-    pool.fenced("b1", 0, asked_ms=180_000)
+    pool.record_count("b1", 0, asked_ms=180_000)
     assert pool.acquire("quick") is None, "the count is older than the failure"
-    pool.fenced("b1", 0, asked_ms=190_000)
+    pool.record_count("b1", 0, asked_ms=190_000)
     assert pool.acquire("quick") == "b1"
 
 
@@ -95,7 +95,7 @@
     pool = counted_pool(*(f"b{n}" for n in range(24)), slots=8)
     for _ in range(96):
         pool.acquire("quick")
-    loads = [pool.get(f"b{n}").held for n in range(24)]
+    loads = [pool.get(f"b{n}").in_flight for n in range(24)]
     assert max(loads) <= 6 and min(loads) >= 2
 
 
@@ -103,15 +103,15 @@
     """Guards against slots of an earlier owner that are counted for ever."""
     pool = SlotPool(random.Random(1))
     pool.add("b1", "quick", 4, 64)
-    pool.fenced("b1", 2, asked_ms=0)
+    pool.record_count("b1", 2, asked_ms=0)
     pool.acquire("quick")
     pool.acquire("quick")
     for asked_ms in range(1, RECOUNT_AFTER_PROBES + 1):
-        pool.fenced("b1", 2, asked_ms)  # both are this owner's by now
+        pool.record_count("b1", 2, asked_ms)  # both are this owner's by now
     pool.release("b1")
     assert pool.acquire("quick") is None
     pool.release("b1")
-    pool.fenced("b1", 0, asked_ms=20)
+    pool.record_count("b1", 0, asked_ms=20)
     assert pool.free_slots("quick") == 4
 
 
@@ -120,9 +120,9 @@
     pool = counted_pool("b1", slots=1)
     pool.acquire("quick")
     pool.abandon("b1", now_ms=100)
-    pool.fenced("b1", 0, asked_ms=100 + ABANDONED_SETTLE_MS - 1)
+    pool.record_count("b1", 0, asked_ms=100 + LATE_ARRIVAL_MS - 1)
     assert pool.acquire("quick") is None
-    pool.fenced("b1", 0, asked_ms=100 + ABANDONED_SETTLE_MS)
+    pool.record_count("b1", 0, asked_ms=100 + LATE_ARRIVAL_MS)
     assert pool.acquire("quick") == "b1"
 
 
@@ -132,7 +132,7 @@
     pool.acquire("quick")
     pool.mark_failed("b1", now_ms=100)
     pool.release("b1")
-    pool.fenced("b1", 0, asked_ms=100)
+    pool.record_count("b1", 0, asked_ms=100)
     assert pool.acquire("quick") is None
 
 
@@ -166,10 +166,10 @@
         self.pool = self.pool_type(random.Random(self.epoch))
         self.pool.add("b1", "quick", self.slots, 64)
 
-    @rule(by_ms=st.sampled_from([1, 400, ABANDONED_SETTLE_MS, 9_000]))
+    @rule(by_ms=st.sampled_from([1, 400, LATE_ARRIVAL_MS, 9_000]))
     def advance(self, by_ms: int) -> None:
         self.now_ms += by_ms
-        old_ms = self.now_ms - ABANDONED_SETTLE_MS
+        old_ms = self.now_ms - LATE_ARRIVAL_MS
         self.sent = [
             request
             for request in self.sent
@@ -216,7 +216,7 @@
         self.fence.admit(self.epoch)
         count = (self.epoch, self.now_ms, len(self.running))
         if is_answered_at_once:
-            self.pool.fenced("b1", count[2], count[1])
+            self.pool.record_count("b1", count[2], count[1])
         else:
             self.counts.append(count)
 
@@ -225,7 +225,7 @@
     def deliver_count(self, pick: int) -> None:
         epoch, asked_ms, in_use = self.counts.pop(pick % len(self.counts))
         if epoch == self.epoch:
-            self.pool.fenced("b1", in_use, asked_ms)
+            self.pool.record_count("b1", in_use, asked_ms)
 
     @rule(is_flapping=st.booleans())
     def lose_server(self, is_flapping: bool) -> None:
@@ -242,8 +242,8 @@
 
 
 class ForgetfulSlots(BackendSlots):
-    def take_count(self, in_use: int, asked_ms: int) -> None:
-        super().take_count(0, asked_ms)
+    def apply_count(self, in_use: int, asked_ms: int) -> None:
+        super().apply_count(0, asked_ms)
 
 
 def machine_with(backend_type: type[BackendSlots]) -> type[SlotMachine]:
@@ -286,7 +286,7 @@
     """Guards against a broken server that draws the queue by being free."""
     pool = SlotPool(random.Random(1))
     pool.add("broken", "checks", 8, 64)
-    pool.fenced("broken", 0, asked_ms=1)
+    pool.record_count("broken", 0, asked_ms=1)
     for now_ms in range(2, 2 + FAILED_ANSWERS_ALLOWED):
         assert pool.acquire("checks") == "broken"
         pool.release_failed("broken", now_ms)
