--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define
-class Lead:
+class LeaderState:
     """What exists only while this instance leads.
 
     Attributes:
@@ -131,7 +131,7 @@
     reported_ms: int = 0
 
 
-class LeadKeeper(Actor):
+class LeaderActionExecutor(Actor):
     """Base class that carries out what the state of a lead asks for.
 
     Args:
@@ -166,9 +166,9 @@
         self._clock = clock
         self._metrics = metrics
         self._config = StepConfig()
-        self._evacuated: frozenset[str] = frozenset()
+        self._evacuated_zones: frozenset[str] = frozenset()
         self._version_by_member: dict[str, int] = {}
-        self._lead: Lead | None = None
+        self._lead: LeaderState | None = None
         self._directory: Actor | None = None
         self._leadership: Actor | None = None
 
@@ -177,20 +177,20 @@
         self._directory = directory
         self._leadership = leadership
 
-    def _schedule_plan(self, lead: Lead) -> None:
+    def _schedule_plan(self, lead: LeaderState) -> None:
         if not lead.plan_scheduled:
             lead.plan_scheduled = True
             self.spawn(self._plan_soon(lead))
 
-    async def _plan_soon(self, lead: Lead) -> None:
+    async def _plan_soon(self, lead: LeaderState) -> None:
         await asyncio.sleep(PLAN_DELAY_MS / 1000)
         lead.plan_scheduled = False
         if self._lead is lead:
             lead.planner.channels.set_instances(self._version_by_member)
             lead.planner.plan(self._clock.now_ms(), self._clock.unix_ms())
-            self._perform(lead)
+            self._perform_actions(lead)
 
-    def _perform(self, lead: Lead) -> None:
+    def _perform_actions(self, lead: LeaderState) -> None:
         """Store what has changed and send whatever the state asks for."""
         if self._lead is not lead:
             return
@@ -200,9 +200,9 @@
                 starts.append(action)
             else:
                 self._perform_one(lead, action)
-        self._save_changed(lead, None, starts)
+        self._save_changed_jobs(lead, None, starts)
 
-    def _perform_one(self, lead: Lead, action: StepAction) -> None:
+    def _perform_one(self, lead: LeaderState, action: StepAction) -> None:
         if isinstance(action, AskAdvice):
             self.spawn(self._ask_advice(lead, action))
             return
@@ -225,7 +225,7 @@
         elif isinstance(action, PaceRun):
             link.tell(LinkPace(action.task, action.run, action.percent, action.fence))
 
-    def _send_starts(self, lead: Lead, starts: Sequence[StartRun]) -> None:
+    def _send_starts(self, lead: LeaderState, starts: Sequence[StartRun]) -> None:
         for action in starts:
             link = lead.link_by_worker.get(action.worker_id)
             worker = lead.state.worker_by_id.get(action.worker_id)
@@ -242,7 +242,7 @@
                 continue
             link.tell(LinkStart(order, action.fence))
 
-    async def _sync_worker(self, lead: Lead, action: SyncWorker) -> None:
+    async def _sync_worker(self, lead: LeaderState, action: SyncWorker) -> None:
         link = lead.link_by_worker.get(action.worker_id)
         if link is not None:
             link.tell(LinkSync(action.fence))
@@ -259,7 +259,7 @@
         await self._add_link(lead, state.worker, action.fence, is_inherited)
 
     async def _add_link(
-        self, lead: Lead, worker: StepWorker, fence: int, is_inherited: bool
+        self, lead: LeaderState, worker: StepWorker, fence: int, is_inherited: bool
     ) -> None:
         expired_ms = 0
         if is_inherited:
@@ -282,7 +282,7 @@
         await link.start()
         link.tell(LinkGrant(lead.grant_until_ms))
 
-    async def _save_roster(self, lead: Lead) -> None:
+    async def _save_roster(self, lead: LeaderState) -> None:
         workers = tuple(
             state.worker
             for worker_id, state in lead.state.worker_by_id.items()
@@ -292,9 +292,9 @@
         with contextlib.suppress(NotOwnerError, ShuttingDownError):
             await lead.commits.ask(SaveRows((write,)))
 
-    def _save_changed(
+    def _save_changed_jobs(
         self,
-        lead: Lead,
+        lead: LeaderState,
         ends: EndsCovered | None,
         starts: Sequence[StartRun] = (),
     ) -> asyncio.Task[None] | None:
@@ -322,7 +322,7 @@
 
     async def _store_changed_jobs(
         self,
-        lead: Lead,
+        lead: LeaderState,
         writes: tuple[RowWrite, ...],
         states: list[tuple[JobProgress, StepJobState]],
         ends: EndsCovered | None,
@@ -343,7 +343,7 @@
             self._send_starts(lead, starts)
 
     def _show_states(
-        self, lead: Lead, states: list[tuple[JobProgress, StepJobState]]
+        self, lead: LeaderState, states: list[tuple[JobProgress, StepJobState]]
     ) -> None:
         for progress, state in states:
             if progress.visible_state.is_final or not state.is_final:
@@ -359,10 +359,10 @@
                 age_ms=self._clock.now_ms() - progress.accepted_ms,
             )
 
-    def _save(self, lead: Lead, *writes: RowWrite) -> None:
+    def _save_rows(self, lead: LeaderState, *writes: RowWrite) -> None:
         self.spawn(self._store_changed_jobs(lead, writes, [], None, ()))
 
-    async def _ask_advice(self, lead: Lead, action: AskAdvice) -> None:
+    async def _ask_advice(self, lead: LeaderState, action: AskAdvice) -> None:
         channels, chosen = lead.planner.channels, action.instance_id
         request = RequestAdvice(
             action.job_id, action.occurrence, action.step, action.worker_ids
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -9,7 +9,12 @@
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import CommitController, SaveRows
 from marjoramgrade.controllers.inheritance import Inheritance, read_inheritance
-from marjoramgrade.controllers.lead import GRANT_LIMIT_MS, EndsCovered, Lead, LeadKeeper
+from marjoramgrade.controllers.lead import (
+    GRANT_LIMIT_MS,
+    EndsCovered,
+    LeaderActionExecutor,
+    LeaderState,
+)
 from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepstate import StepState
@@ -46,7 +51,7 @@
 ALERT_MS = 5_000
 
 
-class LeadReports(LeadKeeper):
+class LeaderEventHandler(LeaderActionExecutor):
     """Base class that takes over what others report while this instance leads."""
 
     async def on_stop(self) -> None:
@@ -60,7 +65,7 @@
 
     async def _begin_lead(self, message: TakeLead) -> None:
         inheritance = await read_inheritance(self._store)
-        state = StepState(message.epoch, self._config, self._evacuated)
+        state = StepState(message.epoch, self._config, self._evacuated_zones)
         planner = Planner(state, AdvisorChannels(self._instance_id))
         check = RowCheck(EPOCH_ROW, message.row_version)
         versions = dict(inheritance.version_by_row)
@@ -76,7 +81,7 @@
         stack = contextlib.AsyncExitStack()
         await commits.start()
         stack.push_async_callback(commits.stop)
-        lead = Lead(
+        lead = LeaderState(
             message.epoch, stack, commits, state, planner, Supervisor(state, planner)
         )
         lead.grant_until_ms = self._clock.now_ms() + GRANT_LIMIT_MS
@@ -90,9 +95,9 @@
             open=len(state.open_job_by_id),
             workers=len(inheritance.roster),
         )
-        self._perform(lead)
+        self._perform_actions(lead)
 
-    def _restore(self, lead: Lead, inheritance: Inheritance) -> None:
+    def _restore(self, lead: LeaderState, inheritance: Inheritance) -> None:
         now_ms, unix_ms = self._clock.now_ms(), self._clock.unix_ms()
         for worker in inheritance.roster:
             lead.state.add_worker(worker)
@@ -132,7 +137,7 @@
         lead.is_renewing = True
         self.spawn(self._write_renewal(lead))
 
-    async def _write_renewal(self, lead: Lead) -> None:
+    async def _write_renewal(self, lead: LeaderState) -> None:
         value = str(self._clock.now_ms()).encode()
         try:
             await lead.commits.ask(SaveRows((RowWrite(RENEWAL_ROW, value),)))
@@ -168,7 +173,7 @@
     @handles(ConfigurationChanged)
     async def _config_changed(self, message: ConfigurationChanged) -> None:
         self._config = message.config
-        self._evacuated = message.evacuated_zones
+        self._evacuated_zones = message.evacuated_zones
         lead = self._lead
         if lead is None:
             return
@@ -204,9 +209,9 @@
                     cpu=worker.capacity.cpu_millis,
                 )
         self._drop_departed(lead)
-        self._perform(lead)
+        self._perform_actions(lead)
 
-    def _drop_departed(self, lead: Lead) -> None:
+    def _drop_departed(self, lead: LeaderState) -> None:
         for worker_id, state in list(lead.state.worker_by_id.items()):
             if state.listed or state.run_by_task or state.synced:
                 continue
@@ -241,7 +246,7 @@
             )
         if message.listing.ended:
             self._schedule_plan(lead)
-            self._save_changed(
+            self._save_changed_jobs(
                 lead,
                 EndsCovered(
                     message.worker_id,
@@ -249,7 +254,7 @@
                     worker.last_end_number,
                 ),
             )
-        self._perform(lead)
+        self._perform_actions(lead)
         if worker.synced and not had_synced:
             self._schedule_plan(lead)
 
@@ -263,7 +268,7 @@
             worker.has_unanswered_call = True
         self._alert(lead)
 
-    def _alert(self, lead: Lead) -> None:
+    def _alert(self, lead: LeaderState) -> None:
         """Let all links look more often; what one worker loses others lose too."""
         until_ms = self._clock.now_ms() + ALERT_MS
         if until_ms - lead.alert_until_ms < ALERT_MS // 4:
@@ -286,7 +291,7 @@
             lead.state.expire_worker(worker)
             self._schedule_plan(lead)
             self._drop_departed(lead)
-        self._perform(lead)
+        self._perform_actions(lead)
 
     @handles(StartAnswered)
     async def _start_answered(self, message: StartAnswered) -> None:
@@ -303,9 +308,9 @@
             self._alert(lead)
         else:
             self._start_refused(lead, message)
-        self._perform(lead)
+        self._perform_actions(lead)
 
-    def _start_refused(self, lead: Lead, message: StartAnswered) -> None:
+    def _start_refused(self, lead: LeaderState, message: StartAnswered) -> None:
         run = lead.state.start_refused(message.worker_id, message.task, message.run)
         if run is None:
             return
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -8,8 +8,8 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import SaveRows
-from marjoramgrade.controllers.lead import Lead, LeaseTerms
-from marjoramgrade.controllers.leadreports import LeadReports
+from marjoramgrade.controllers.lead import LeaderState, LeaseTerms
+from marjoramgrade.controllers.leadreports import LeaderEventHandler
 from marjoramgrade.decisions.stepprogress import JobProgress
 from marjoramgrade.errors import (
     JobNotFoundError,
@@ -50,7 +50,7 @@
 MAX_OPEN_JOBS = 5_000
 
 
-class StepSchedulerController(LeadReports):
+class StepSchedulerController(LeaderEventHandler):
     """Owns the jobs and the links to the workers while this instance leads."""
 
     async def on_start(self) -> None:
@@ -70,7 +70,9 @@
             )
         return accepting
 
-    async def _accept(self, lead: Lead, message: SubmitStepJob) -> StepJobAccepted:
+    async def _accept(
+        self, lead: LeaderState, message: SubmitStepJob
+    ) -> StepJobAccepted:
         job = message.job
         if job.job_id in lead.state.job_by_id:
             # A repetition can arrive much later.
@@ -122,7 +124,9 @@
         return queue
 
     @staticmethod
-    async def _settle(lead: Lead, *writes: RowWrite, may_refuse: bool = False) -> None:
+    async def _settle(
+        lead: LeaderState, *writes: RowWrite, may_refuse: bool = False
+    ) -> None:
         """Wait until the store holds a job.
 
         Raises:
@@ -145,12 +149,14 @@
         progress = self._find(lead, message.job_id)
         return self.spawn(self._cancel_job(lead, progress))
 
-    async def _cancel_job(self, lead: Lead, progress: JobProgress) -> StepJobShown:
+    async def _cancel_job(
+        self, lead: LeaderState, progress: JobProgress
+    ) -> StepJobShown:
         if not progress.state.is_final:
             lead.state.cancel_job(progress, self._clock.unix_ms())
             logs.state_change("job_cancelled", job=progress.job.job_id)
-            stored = self._save_changed(lead, None)
-            self._perform(lead)
+            stored = self._save_changed_jobs(lead, None)
+            self._perform_actions(lead)
             self._schedule_plan(lead)
             if stored is not None:
                 await stored
@@ -164,12 +170,12 @@
     async def _count_pending(self, message: CountPending) -> PendingCount:
         return PendingCount(self._current().state.count_pending(message.queue))
 
-    def _current(self) -> Lead:
+    def _current(self) -> LeaderState:
         if self._lead is None:
             raise NotOwnerError("this instance does not lead")
         return self._lead
 
-    def _find(self, lead: Lead, job_id: str) -> JobProgress:
+    def _find(self, lead: LeaderState, job_id: str) -> JobProgress:
         progress = lead.state.job_by_id.get(job_id)
         if progress is None or not progress.stored:
             raise JobNotFoundError(f"no job has the id {job_id}")
@@ -184,11 +190,11 @@
             lead.supervisor.supervise(self._clock.now_ms())
             lead.supervisor.discard_finished_stops()
             self._schedule_plan(lead)
-            self._perform(lead)
+            self._perform_actions(lead)
             self._purge(lead)
             self._report(lead)
 
-    def _report(self, lead: Lead) -> None:
+    def _report(self, lead: LeaderState) -> None:
         """Write a line on the load, so that a late job can be explained."""
         now_ms = self._clock.now_ms()
         if now_ms - lead.reported_ms < REPORT_INTERVAL_MS:
@@ -209,7 +215,7 @@
             advice_ms=lead.planner.channels.total_pending_ms,
         )
 
-    def _purge(self, lead: Lead) -> None:
+    def _purge(self, lead: LeaderState) -> None:
         """Drop the jobs that callers may no longer ask for."""
         now_ms = self._clock.now_ms()
         if now_ms - lead.purged_ms < PURGE_INTERVAL_MS or not lead.reachable:
@@ -220,7 +226,7 @@
             if progress.visible_state.is_final and progress.ended_unix_ms < oldest_ms:
                 job_id = progress.job.job_id
                 lead.state.remove_job(job_id)
-                self._save(
+                self._save_rows(
                     lead,
                     RowWrite(job_row(job_id), remove=True),
                     RowWrite(progress_row(job_id), remove=True),
