--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -78,7 +78,7 @@
 
 
 @attrs.frozen
-class EndsCovered:
+class EndsToAcknowledge:
     """Ends of one life of a worker up to a number."""
 
     worker_id: str
@@ -98,7 +98,7 @@
         planner: Gives tasks to workers.
         supervisor: Watches runs.
         link_by_worker: The connections to the workers.
-        accepting_by_job: The jobs that are being stored.
+        pending_submission_by_job: The jobs that are being stored.
         roster: Workers that the store knows as possible holders of runs.
         inherited: Those of them that an earlier leader has used.
         reachable: Whether writes reach the store.
@@ -106,8 +106,8 @@
         grant_until_ms: Until when leases of workers may be extended.
         plan_scheduled: Whether a plan is about to be made.
         alert_until_ms: Until when listings wait only shortly.
-        purged_ms: When ended jobs were last dropped.
-        reported_ms: When the load was last logged.
+        last_purge_ms: When ended jobs were last dropped.
+        last_load_log_ms: When the load was last logged.
     """
 
     epoch: int
@@ -117,7 +117,7 @@
     planner: Planner
     supervisor: Supervisor
     link_by_worker: dict[str, WorkerLink] = attrs.field(factory=dict)
-    accepting_by_job: dict[str, asyncio.Task[StepJobAccepted]] = attrs.field(
+    pending_submission_by_job: dict[str, asyncio.Task[StepJobAccepted]] = attrs.field(
         factory=dict
     )
     roster: frozenset[str] = frozenset()
@@ -127,8 +127,8 @@
     grant_until_ms: int = 0
     plan_scheduled: bool = False
     alert_until_ms: int = 0
-    purged_ms: int = 0
-    reported_ms: int = 0
+    last_purge_ms: int = 0
+    last_load_log_ms: int = 0
 
 
 class LeaderActionExecutor(Actor):
@@ -295,7 +295,7 @@
     def _save_changed_jobs(
         self,
         lead: LeaderState,
-        ends: EndsCovered | None,
+        ends: EndsToAcknowledge | None,
         starts: Sequence[StartRun] = (),
     ) -> asyncio.Task[None] | None:
         """Store the jobs that changed, then let go what waits for that.
@@ -325,7 +325,7 @@
         lead: LeaderState,
         writes: tuple[RowWrite, ...],
         states: list[tuple[JobProgress, StepJobState]],
-        ends: EndsCovered | None,
+        ends: EndsToAcknowledge | None,
         starts: Sequence[StartRun],
     ) -> None:
         try:
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -11,7 +11,7 @@
 from marjoramgrade.controllers.inheritance import Inheritance, read_inheritance
 from marjoramgrade.controllers.lead import (
     GRANT_LIMIT_MS,
-    EndsCovered,
+    EndsToAcknowledge,
     LeaderActionExecutor,
     LeaderState,
 )
@@ -248,7 +248,7 @@
             self._schedule_plan(lead)
             self._save_changed_jobs(
                 lead,
-                EndsCovered(
+                EndsToAcknowledge(
                     message.worker_id,
                     message.listing.born_unix_ms,
                     worker.last_end_number,
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -61,12 +61,12 @@
     async def _submit(self, message: SubmitStepJob) -> Any:
         lead, job_id = self._current(), message.job.job_id
         # The same id again is the same job, so a repetition waits for the first call.
-        accepting = lead.accepting_by_job.get(job_id)
+        accepting = lead.pending_submission_by_job.get(job_id)
         if accepting is None:
             accepting = self.spawn(self._accept(lead, message))
-            lead.accepting_by_job[job_id] = accepting
+            lead.pending_submission_by_job[job_id] = accepting
             accepting.add_done_callback(
-                lambda _: lead.accepting_by_job.pop(job_id, None)
+                lambda _: lead.pending_submission_by_job.pop(job_id, None)
             )
         return accepting
 
@@ -197,9 +197,9 @@
     def _report(self, lead: LeaderState) -> None:
         """Write a line on the load, so that a late job can be explained."""
         now_ms = self._clock.now_ms()
-        if now_ms - lead.reported_ms < REPORT_INTERVAL_MS:
+        if now_ms - lead.last_load_log_ms < REPORT_INTERVAL_MS:
             return
-        lead.reported_ms = now_ms
+        lead.last_load_log_ms = now_ms
         workers = lead.state.worker_by_id.values()
         usable = [worker for worker in workers if worker.accepts_work(now_ms)]
         capacity = sum(worker.worker.capacity.cpu_millis for worker in usable)
@@ -218,9 +218,9 @@
     def _purge(self, lead: LeaderState) -> None:
         """Drop the jobs that callers may no longer ask for."""
         now_ms = self._clock.now_ms()
-        if now_ms - lead.purged_ms < PURGE_INTERVAL_MS or not lead.reachable:
+        if now_ms - lead.last_purge_ms < PURGE_INTERVAL_MS or not lead.reachable:
             return
-        lead.purged_ms = now_ms
+        lead.last_purge_ms = now_ms
         oldest_ms = self._clock.unix_ms() - self._terms.status_ms - RETENTION_MARGIN_MS
         for progress in list(lead.state.job_by_id.values()):
             if progress.visible_state.is_final and progress.ended_unix_ms < oldest_ms:
