--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -65,16 +65,16 @@
 
 
 @attrs.frozen
-class LeaseTerms:
+class LeaderDurations:
     """How long leases of workers last.
 
     Attributes:
-        hold_ms: Length of the leases that every leader grants.
-        status_ms: How long callers may ask for a job that has ended.
+        worker_lease_ms: Length of the leases that every leader grants.
+        status_retention_ms: How long callers may ask for a job that has ended.
     """
 
-    hold_ms: int
-    status_ms: int
+    worker_lease_ms: int
+    status_retention_ms: int
 
 
 @attrs.frozen
@@ -152,7 +152,7 @@
         peers: Actor,
         advisor: Actor,
         connect: ConnectWorker,
-        terms: LeaseTerms,
+        terms: LeaderDurations,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -266,14 +266,16 @@
             # An earlier leader that is still at work may renew leases for this
             # long, and each of them lasts on the worker's own clock.
             expired_ms = (
-                self._clock.now_ms() + GRANT_LIMIT_MS + self._terms.hold_ms * 11 // 10
+                self._clock.now_ms()
+                + GRANT_LIMIT_MS
+                + self._terms.worker_lease_ms * 11 // 10
             )
         link = WorkerLink(
             worker,
             self._connect(worker),
             self,
             self._clock,
-            self._terms.hold_ms,
+            self._terms.worker_lease_ms,
             fence,
             expired_ms,
         )
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -8,7 +8,7 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import SaveRows
-from marjoramgrade.controllers.lead import LeaderState, LeaseTerms
+from marjoramgrade.controllers.lead import LeaderDurations, LeaderState
 from marjoramgrade.controllers.leadreports import LeaderEventHandler
 from marjoramgrade.decisions.stepprogress import JobProgress
 from marjoramgrade.errors import (
@@ -221,7 +221,11 @@
         if now_ms - lead.last_purge_ms < PURGE_INTERVAL_MS or not lead.reachable:
             return
         lead.last_purge_ms = now_ms
-        oldest_ms = self._clock.unix_ms() - self._terms.status_ms - RETENTION_MARGIN_MS
+        oldest_ms = (
+            self._clock.unix_ms()
+            - self._terms.status_retention_ms
+            - RETENTION_MARGIN_MS
+        )
         for progress in list(lead.state.job_by_id.values()):
             if progress.visible_state.is_final and progress.ended_unix_ms < oldest_ms:
                 job_id = progress.job.job_id
@@ -233,4 +237,4 @@
                 )
 
 
-__all__ = ["LeaseTerms", "StepSchedulerController"]
+__all__ = ["LeaderDurations", "StepSchedulerController"]
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -24,7 +24,7 @@
 from marjoramgrade.controllers.readiness import ReadinessController
 from marjoramgrade.controllers.stepinbound import StepInboundController
 from marjoramgrade.controllers.stepscheduling import (
-    LeaseTerms,
+    LeaderDurations,
     StepSchedulerController,
 )
 from marjoramgrade.controllers.storegate import StoreGate
@@ -112,7 +112,7 @@
             own, link, lambda member: PeerLink(own.instance_id, own.host, member)
         )
         gate = StoreGate(own.instance_id, link, peers)
-        terms = LeaseTerms(
+        terms = LeaderDurations(
             min(HOLD_MS, settings.longest_lease_ms),
             settings.status_s * 1_000,
         )
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -12,7 +12,10 @@
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.controllers import commits
 from marjoramgrade.controllers.commits import SaveRows
-from marjoramgrade.controllers.stepscheduling import LeaseTerms, StepSchedulerController
+from marjoramgrade.controllers.stepscheduling import (
+    LeaderDurations,
+    StepSchedulerController,
+)
 from marjoramgrade.controllers.workerport import WorkerPort
 from marjoramgrade.errors import (
     JobNotFoundError,
@@ -122,7 +125,7 @@
         peers,
         peers,
         connect,
-        LeaseTerms(3_000, 120_000),
+        LeaderDurations(3_000, 120_000),
         SystemClock(),
         MemoryMetrics(),
     )
@@ -322,7 +325,7 @@
             Nobody(),
             Nobody(),
             FakePort,
-            LeaseTerms(3_000, 120_000),
+            LeaderDurations(3_000, 120_000),
             SystemClock(),
             MemoryMetrics(),
         )
