--- a/marjoramgrade/controllers/inheritance.py
+++ b/marjoramgrade/controllers/inheritance.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class Inheritance:
+class RecoveredState:
     """Jobs, workers and row versions that an earlier leader has left.
 
     Attributes:
@@ -43,7 +43,7 @@
     version_by_row: Mapping[RowId, int]
 
 
-async def read_inheritance(store: Actor) -> Inheritance:
+async def read_recovered_state(store: Actor) -> RecoveredState:
     """Read the rows of the leadership, trying again until the store answers."""
     while True:
         try:
@@ -53,7 +53,7 @@
             await asyncio.sleep(RETRY_MS / 1000)
 
 
-async def _read(store: Actor) -> Inheritance:
+async def _read(store: Actor) -> RecoveredState:
     leadership, jobs, progress = await asyncio.gather(
         _read_all(store, LEADERSHIP_TABLE),
         _read_all(store, JOBS_TABLE),
@@ -63,19 +63,19 @@
     record_by_id = {}
     for row in progress:
         record_by_id[row.row.key] = parse_row(row.value, JobRecord)
-    inherited = []
+    recovered_jobs = []
     for row in jobs:
         try:
             job = parse_row(row.value, JobRow)
         except InvalidInputError as error:
             logs.state_change("row_unreadable", row=row.row.key, reason=error.message)
             continue
-        inherited.append((job, record_by_id.get(row.row.key, JobRecord())))
+        recovered_jobs.append((job, record_by_id.get(row.row.key, JobRecord())))
     roster: tuple[StepWorker, ...] = ()
     for row in leadership:
         if row.row == ROSTER_ROW:
             roster = parse_row(row.value, RosterRow).workers
-    return Inheritance(tuple(inherited), roster, versions)
+    return RecoveredState(tuple(recovered_jobs), roster, versions)
 
 
 async def _read_all(store: Actor, table: str) -> list[StoredRow]:
--- a/marjoramgrade/controllers/lead.py
+++ b/marjoramgrade/controllers/lead.py
@@ -100,7 +100,7 @@
         link_by_worker: The connections to the workers.
         pending_submission_by_job: The jobs that are being stored.
         roster: Workers that the store knows as possible holders of runs.
-        inherited: Those of them that an earlier leader has used.
+        recovered_workers: Those of them that an earlier leader has used.
         reachable: Whether writes reach the store.
         is_renewing: Whether a renewal of the lead is on its way.
         grant_until_ms: Until when leases of workers may be extended.
@@ -121,7 +121,7 @@
         factory=dict
     )
     roster: frozenset[str] = frozenset()
-    inherited: frozenset[str] = frozenset()
+    recovered_workers: frozenset[str] = frozenset()
     reachable: bool = True
     is_renewing: bool = False
     grant_until_ms: int = 0
@@ -250,7 +250,7 @@
         state = lead.state.worker_by_id.get(action.worker_id)
         if state is None:
             return
-        is_inherited = action.worker_id in lead.inherited
+        is_inherited = action.worker_id in lead.recovered_workers
         if action.worker_id not in lead.roster:
             lead.roster = lead.roster | {action.worker_id}
             await self._save_roster(lead)
--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leadreports.py
@@ -8,7 +8,7 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import CommitController, SaveRows
-from marjoramgrade.controllers.inheritance import Inheritance, read_inheritance
+from marjoramgrade.controllers.inheritance import RecoveredState, read_recovered_state
 from marjoramgrade.controllers.lead import (
     GRANT_LIMIT_MS,
     EndsToAcknowledge,
@@ -64,7 +64,7 @@
         return self.spawn(self._begin_lead(message))
 
     async def _begin_lead(self, message: TakeLead) -> None:
-        inheritance = await read_inheritance(self._store)
+        inheritance = await read_recovered_state(self._store)
         state = StepState(message.epoch, self._config, self._evacuated_zones)
         planner = Planner(state, AdvisorChannels(self._instance_id))
         check = RowCheck(EPOCH_ROW, message.row_version)
@@ -97,11 +97,11 @@
         )
         self._perform_actions(lead)
 
-    def _restore(self, lead: LeaderState, inheritance: Inheritance) -> None:
+    def _restore(self, lead: LeaderState, inheritance: RecoveredState) -> None:
         now_ms, unix_ms = self._clock.now_ms(), self._clock.unix_ms()
         for worker in inheritance.roster:
             lead.state.add_worker(worker)
-        lead.roster = lead.inherited = frozenset(lead.state.worker_by_id)
+        lead.roster = lead.recovered_workers = frozenset(lead.state.worker_by_id)
         for row, record in inheritance.jobs:
             job = row.job
             # An instance that has just started may lead before it has read the
