--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -64,33 +64,33 @@
 )
 
 # Shortest time between two looks at what is due.
-LOOP_MS = 50
+MIN_WAIT_MS = 50
 # The leader tells everybody that it leads at this interval.
-BEAT_MS = 150
+HEARTBEAT_INTERVAL_MS = 150
 # It writes to the store at least this often, so that others can tell a leader
 # that is gone from one that they cannot hear.
-RENEWAL_MS = 300
+RENEWAL_INTERVAL_MS = 300
 # After this silence the store is asked whether the leader still writes; two beats
 # may be lost or late.
-SILENCE_MS = 400
+HEARTBEAT_TIMEOUT_MS = 400
 # A leader that most instances have not heard for this long is replaced even if it
 # still writes: it cannot serve them.
-UNHEARD_MS = 2_500
+MAJORITY_HEARTBEAT_TIMEOUT_MS = 2_500
 # A leader that only others have reached the store for all this time gives the lead to
 # one of them. After an outage of the whole store a relay may answer before the direct
 # way is tried again, which takes up to 400 ms.
-RELAYED_MS = 700
+RELAY_HANDOVER_DELAY_MS = 700
 # After that it is no candidate for this long.
 INELIGIBLE_MS = 3_000
 # Candidates wait a little in turn, the strongest first and of these the newest, so
 # that the first one usually is the only one; beyond the last rank all wait alike.
 RANK_DELAY_MS = 30
-LAST_RANK = 10
+MAX_RANK = 10
 # An instance that has just started waits this long for the list of members.
-ALONE_MS = 900
+MEMBER_LIST_WAIT_MS = 900
 # A leader that is this much weaker than another instance gives it the lead.
-WEAK_SHARE = 0.6
-WEAK_MS = 1_500
+MIN_STRENGTH_RATIO = 0.6
+STRENGTH_CHECK_DELAY_MS = 1_500
 
 
 class LeadershipController(Actor):
@@ -251,18 +251,21 @@
             elif self._own_epoch:
                 await self._lead()
                 led_ms = self._clock.now_ms() - self._led_from_ms
-                if led_ms >= WEAK_MS and not self._looked_for_stronger:
+                if led_ms >= STRENGTH_CHECK_DELAY_MS and not self._looked_for_stronger:
                     await self._yield_to_stronger()
-            elif self._clock.now_ms() - self._heard_ms >= SILENCE_MS:
+            elif self._clock.now_ms() - self._heard_ms >= HEARTBEAT_TIMEOUT_MS:
                 await self._consider()
 
     async def _pause(self) -> None:
         """Wait until something is due, or until the leader says that it leaves."""
         if self._own_epoch:
-            due_ms = min(self._beat_ms + BEAT_MS, self._renewed_ms + RENEWAL_MS)
+            due_ms = min(
+                self._beat_ms + HEARTBEAT_INTERVAL_MS,
+                self._renewed_ms + RENEWAL_INTERVAL_MS,
+            )
         else:
-            due_ms = self._heard_ms + SILENCE_MS
-        pause_ms = max(LOOP_MS, due_ms - self._clock.now_ms())
+            due_ms = self._heard_ms + HEARTBEAT_TIMEOUT_MS
+        pause_ms = max(MIN_WAIT_MS, due_ms - self._clock.now_ms())
         self._wake.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause_ms / 1000):
@@ -270,18 +273,21 @@
 
     def _is_served_by_others(self) -> bool:
         since_ms = self._relayed_since_ms
-        return bool(since_ms) and self._clock.now_ms() - since_ms >= RELAYED_MS
+        return (
+            bool(since_ms)
+            and self._clock.now_ms() - since_ms >= RELAY_HANDOVER_DELAY_MS
+        )
 
     async def _lead(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms - self._beat_ms >= BEAT_MS:
+        if now_ms - self._beat_ms >= HEARTBEAT_INTERVAL_MS:
             self._beat_ms = now_ms
             beat = LeaderBeat(
                 self._own_epoch, self._instance_id, now_ms, now_ms - self._confirmed_ms
             )
             self._peers.tell(TellPeers(beat))
             self._tell(beat)
-        if now_ms - self._renewed_ms >= RENEWAL_MS:
+        if now_ms - self._renewed_ms >= RENEWAL_INTERVAL_MS:
             self._renewed_ms = now_ms
             # The leader's writes leave one after the other, so that a slow store
             # is not flooded with renewals.
@@ -290,7 +296,7 @@
     async def _consider(self) -> None:
         """Take the lead if the leader is gone."""
         is_alone = len(self._members) < 2
-        if is_alone and self._clock.now_ms() - self._started_ms < ALONE_MS:
+        if is_alone and self._clock.now_ms() - self._started_ms < MEMBER_LIST_WAIT_MS:
             return
         lost_ms = self._clock.now_ms() - self._lost_direct_ms
         if self._lost_direct_ms and lost_ms < INELIGIBLE_MS:
@@ -314,7 +320,7 @@
             if not is_leader_down and not await self._is_unheard():
                 return
         await asyncio.sleep(self._rank() * RANK_DELAY_MS / 1000)
-        if self._clock.now_ms() - self._heard_ms >= SILENCE_MS:
+        if self._clock.now_ms() - self._heard_ms >= HEARTBEAT_TIMEOUT_MS:
             await self._take()
 
     async def _observe(self) -> bool:
@@ -356,14 +362,16 @@
 
     async def _is_unheard(self) -> bool:
         """Whether most instances have not heard the leader for long."""
-        if self._clock.now_ms() - self._heard_ms < UNHEARD_MS:
+        if self._clock.now_ms() - self._heard_ms < MAJORITY_HEARTBEAT_TIMEOUT_MS:
             return False
         others = [
             member.instance_id
             for member in self._members
             if member.instance_id not in (self._instance_id, self._leader.leader_id)
         ]
-        unheard = await self._probe.count_unheard(others, self._leader, UNHEARD_MS)
+        unheard = await self._probe.count_unheard(
+            others, self._leader, MAJORITY_HEARTBEAT_TIMEOUT_MS
+        )
         return 2 * (1 + unheard) > len(self._members)
 
     def _rank(self) -> int:
@@ -385,13 +393,13 @@
             for member in self._members
             if member.instance_id != self._leader.leader_id and score(member) < own
         )
-        return min(rank, LAST_RANK)
+        return min(rank, MAX_RANK)
 
     async def _yield_to_stronger(self) -> None:
         """Give the lead to a much stronger instance that answers."""
         self._looked_for_stronger = True
         best = max((self._own, *self._members), key=lambda member: member.strength)
-        if self._own.strength >= WEAK_SHARE * best.strength:
+        if self._own.strength >= MIN_STRENGTH_RATIO * best.strength:
             return
         if await self._probe.ask_age(best.instance_id) is not None:
             await self._release("a stronger instance answers")
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -14,11 +14,11 @@
 # An instance that has not heard a leader for this long sends its callers to others:
 # two beats may be lost or late. The balancer needs two looks, one second apart, to
 # notice; where all instances are without a leader it uses them all the same.
-UNHEARD_MS = 450
+HEARTBEAT_TIMEOUT_MS = 450
 # A leader that is heard but that the store has not confirmed for this long takes no
 # jobs: it may be cut off together with this instance. It renews its lead three times
 # in that time.
-UNCONFIRMED_MS = 1_000
+CONFIRMATION_TIMEOUT_MS = 1_000
 
 
 class ReadySign(Protocol):
@@ -67,7 +67,10 @@
             now_ms = self._clock.now_ms()
             unheard_ms = now_ms - self._heard_ms
             unconfirmed_ms = now_ms - self._confirmed_ms
-            is_led = unheard_ms < UNHEARD_MS and unconfirmed_ms < UNCONFIRMED_MS
+            is_led = (
+                unheard_ms < HEARTBEAT_TIMEOUT_MS
+                and unconfirmed_ms < CONFIRMATION_TIMEOUT_MS
+            )
             ready = self._has_config and is_led
             if ready != self._sign.is_ready:
                 self._sign.is_ready = ready
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -9,9 +9,9 @@
 
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.controllers.readiness import (
+    CONFIRMATION_TIMEOUT_MS,
+    HEARTBEAT_TIMEOUT_MS,
     POLL_MS,
-    UNCONFIRMED_MS,
-    UNHEARD_MS,
     ReadinessController,
 )
 from marjoramgrade.messages.steps import ConfigurationChanged, LeaderBeat
@@ -60,7 +60,7 @@
     async def run():
         async with readiness() as (sign, controller):
             await beat_for(controller, 2 * POLL_MS, 100)
-            await beat_for(controller, 2 * POLL_MS, UNCONFIRMED_MS)
+            await beat_for(controller, 2 * POLL_MS, CONFIRMATION_TIMEOUT_MS)
             assert not sign.is_ready
             await beat_for(controller, 2 * POLL_MS, 100)
             assert sign.is_ready
@@ -73,7 +73,7 @@
     async def run():
         async with readiness() as (sign, controller):
             await beat_for(controller, 2 * POLL_MS, 100)
-            await asyncio.sleep((UNHEARD_MS + 2 * POLL_MS) / 1000)
+            await asyncio.sleep((HEARTBEAT_TIMEOUT_MS + 2 * POLL_MS) / 1000)
             assert not sign.is_ready
 
     asyncio.run(run())
