--- a/marjoramgrade/controllers/leaderprobe.py
+++ b/marjoramgrade/controllers/leaderprobe.py
@@ -17,10 +17,10 @@
 ASK_TIMEOUT_MS = 300
 # A process that has ended refuses connections within a round trip; an instance that is
 # cut off or without power does not answer in this time.
-REFUSAL_MS = 100
+REFUSAL_TIMEOUT_MS = 100
 # A connection that is about to break may take the first call.
-REFUSAL_TRIES = 3
-REFUSAL_PAUSE_MS = 20
+PROBE_ATTEMPTS = 3
+PROBE_RETRY_DELAY_MS = 20
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
     peers: Actor
     clock: Clock
 
-    async def ask_age(self, instance_id: str) -> LeaderAge | None:
+    async def ask_leader_age(self, instance_id: str) -> LeaderAge | None:
         """Return when an instance last heard the leader, None without an answer."""
         try:
             answer = await self.peers.ask(
@@ -45,7 +45,7 @@
             return None
         return answer if isinstance(answer, LeaderAge) else None
 
-    async def count_unheard(
+    async def count_without_heartbeat(
         self, instance_ids: Sequence[str], leader: LeaderRow, unheard_ms: int
     ) -> int:
         """Return how many instances have not heard a leader for a time.
@@ -55,7 +55,9 @@
             leader: The leader; those that know of a later one do not count.
             unheard_ms: The time.
         """
-        ages = await asyncio.gather(*(self.ask_age(other) for other in instance_ids))
+        ages = await asyncio.gather(
+            *(self.ask_leader_age(other) for other in instance_ids)
+        )
         return sum(
             1
             for answer in ages
@@ -64,17 +66,19 @@
             and answer.age_ms >= unheard_ms
         )
 
-    async def has_ended(self, instance_id: str) -> bool:
+    async def has_process_ended(self, instance_id: str) -> bool:
         """Whether the process of an instance refuses connections."""
-        for _ in range(REFUSAL_TRIES):
+        for _ in range(PROBE_ATTEMPTS):
             began_ms = self.clock.now_ms()
             try:
-                await self.peers.ask(CallPeer(instance_id, AskLeaderAge(), REFUSAL_MS))
+                await self.peers.ask(
+                    CallPeer(instance_id, AskLeaderAge(), REFUSAL_TIMEOUT_MS)
+                )
             except OwnerUnreachableError:
                 # A connection that is not refused hangs for longer.
-                return self.clock.now_ms() - began_ms < REFUSAL_MS
+                return self.clock.now_ms() - began_ms < REFUSAL_TIMEOUT_MS
             except MarjoramgradeError:
-                await asyncio.sleep(REFUSAL_PAUSE_MS / 1000)
+                await asyncio.sleep(PROBE_RETRY_DELAY_MS / 1000)
             else:
                 return False
         return False
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -182,7 +182,10 @@
 
     async def _check_process(self, leader: LeaderRow) -> None:
         """Wait for nothing more if the process of the leader has ended."""
-        if await self._probe.has_ended(leader.leader_id) and leader == self._leader:
+        if (
+            await self._probe.has_process_ended(leader.leader_id)
+            and leader == self._leader
+        ):
             logs.state_change(
                 "leader_ended", leader=leader.leader_id, epoch=leader.epoch
             )
@@ -369,7 +372,7 @@
             for member in self._members
             if member.instance_id not in (self._instance_id, self._leader.leader_id)
         ]
-        unheard = await self._probe.count_unheard(
+        unheard = await self._probe.count_without_heartbeat(
             others, self._leader, MAJORITY_HEARTBEAT_TIMEOUT_MS
         )
         return 2 * (1 + unheard) > len(self._members)
@@ -401,7 +404,7 @@
         best = max((self._own, *self._members), key=lambda member: member.strength)
         if self._own.strength >= MIN_STRENGTH_RATIO * best.strength:
             return
-        if await self._probe.ask_age(best.instance_id) is not None:
+        if await self._probe.ask_leader_age(best.instance_id) is not None:
             await self._release("a stronger instance answers")
 
     async def _take(self) -> None:
