--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -21,7 +21,7 @@
 CONFIRMATION_TIMEOUT_MS = 1_000
 
 
-class ReadySign(Protocol):
+class ReadinessSignal(Protocol):
     """What the balancer looks at."""
 
     is_ready: bool
@@ -31,13 +31,13 @@
     """Owns the sign that the balancer looks at.
 
     Args:
-        sign: The sign.
+        signal: The sign.
         clock: Monotonic time.
     """
 
-    def __init__(self, sign: ReadySign, clock: Clock) -> None:
+    def __init__(self, signal: ReadinessSignal, clock: Clock) -> None:
         super().__init__()
-        self._sign = sign
+        self._signal = signal
         self._clock = clock
         self._has_config = False
         self._leader_id = ""
@@ -72,8 +72,8 @@
                 and unconfirmed_ms < CONFIRMATION_TIMEOUT_MS
             )
             ready = self._has_config and is_led
-            if ready != self._sign.is_ready:
-                self._sign.is_ready = ready
+            if ready != self._signal.is_ready:
+                self._signal.is_ready = ready
                 logs.state_change(
                     "ready" if ready else "not_ready",
                     leader=self._leader_id,
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define
-class Sign:
+class Signal:
     """What the balancer looks at."""
 
     is_ready: bool = False
@@ -27,13 +27,13 @@
 
 @contextlib.asynccontextmanager
 async def readiness():
-    sign = Sign()
-    controller = ReadinessController(sign, SystemClock())
+    signal = Signal()
+    controller = ReadinessController(signal, SystemClock())
     async with contextlib.AsyncExitStack() as stack:
         await controller.start()
         stack.push_async_callback(controller.stop)
         controller.tell(ConfigurationChanged(StepConfig(version=1), frozenset()))
-        yield sign, controller
+        yield signal, controller
 
 
 async def beat_for(controller, duration_ms, confirmed_age_ms):
@@ -47,9 +47,9 @@
 def test_an_instance_is_ready_while_the_store_confirms_its_leader():
     # Guards against a balancer that avoids instances which could serve.
     async def run():
-        async with readiness() as (sign, controller):
+        async with readiness() as (signal, controller):
             await beat_for(controller, 2 * POLL_MS, 100)
-            assert sign.is_ready
+            assert signal.is_ready
 
     asyncio.run(run())
 
@@ -58,12 +58,12 @@
     # Guards against a zone whose callers are refused for as long as it is cut off,
     # because its instances still hear a leader that cannot reach the store.
     async def run():
-        async with readiness() as (sign, controller):
+        async with readiness() as (signal, controller):
             await beat_for(controller, 2 * POLL_MS, 100)
             await beat_for(controller, 2 * POLL_MS, CONFIRMATION_TIMEOUT_MS)
-            assert not sign.is_ready
+            assert not signal.is_ready
             await beat_for(controller, 2 * POLL_MS, 100)
-            assert sign.is_ready
+            assert signal.is_ready
 
     asyncio.run(run())
 
@@ -71,9 +71,9 @@
 def test_callers_go_elsewhere_when_no_leader_is_heard():
     # Guards against callers who are sent to an instance that nobody leads.
     async def run():
-        async with readiness() as (sign, controller):
+        async with readiness() as (signal, controller):
             await beat_for(controller, 2 * POLL_MS, 100)
             await asyncio.sleep((HEARTBEAT_TIMEOUT_MS + 2 * POLL_MS) / 1000)
-            assert not sign.is_ready
+            assert not signal.is_ready
 
     asyncio.run(run())
