--- a/marjoramgrade/controllers/leadreports.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -8,13 +8,16 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import CommitController, SaveRows
-from marjoramgrade.controllers.inheritance import RecoveredState, read_recovered_state
-from marjoramgrade.controllers.lead import (
+from marjoramgrade.controllers.leaderactions import (
     GRANT_LIMIT_MS,
     EndsToAcknowledge,
     LeaderActionExecutor,
     LeaderState,
 )
+from marjoramgrade.controllers.leaderrecovery import (
+    RecoveredState,
+    read_recovered_state,
+)
 from marjoramgrade.decisions.advisorchannels import AdvisorChannels
 from marjoramgrade.decisions.stepplanning import Planner
 from marjoramgrade.decisions.stepstate import StepState
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -8,8 +8,8 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import handles
 from marjoramgrade.controllers.commits import SaveRows
-from marjoramgrade.controllers.lead import LeaderDurations, LeaderState
-from marjoramgrade.controllers.leadreports import LeaderEventHandler
+from marjoramgrade.controllers.leaderactions import LeaderDurations, LeaderState
+from marjoramgrade.controllers.leaderevents import LeaderEventHandler
 from marjoramgrade.decisions.stepprogress import JobProgress
 from marjoramgrade.errors import (
     JobNotFoundError,
