--- a/marjoramgrade/controllers/desk.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -49,12 +49,12 @@
 # Between attempts while another instance takes the lead.
 RETRY_MS = 60
 # One attempt at the leader; commits usually take 20 ms, on a slow store 1 s.
-ATTEMPT_MS = 1_500
+ATTEMPT_TIMEOUT_MS = 1_500
 # A job that nobody can take is refused once no leader has been known for this long;
 # a takeover usually ends within it. One that may have been taken is not given up before
 # the deadline: its caller would come back, perhaps to an instance that knows of no
 # leader and refuses it as not run, while it runs.
-NO_LEADER_MS = 1_500
+NO_LEADER_TIMEOUT_MS = 1_500
 # Left of the caller's time for the way back.
 ANSWER_MARGIN_MS = 60
 
@@ -66,18 +66,18 @@
     TableRefusedError,
 )
 
-Forwarded = SubmitStepJob | GetStepJob | CancelStepJob | CountPending
+LeaderRequest = SubmitStepJob | GetStepJob | CancelStepJob | CountPending
 
 
 @attrs.frozen
-class Forward(Message[Any]):
+class ForwardRequest(Message[Any]):
     """A request of a caller and its deadline on this instance's clock."""
 
-    request: Forwarded
+    request: LeaderRequest
     deadline_ms: int
 
 
-class DeskController(Actor):
+class ForwardingController(Actor):
     """Forwards requests and repeats those that are safe to repeat.
 
     All of them are: a job that is handed in again is the same job.
@@ -114,15 +114,15 @@
         self._leader_changed.set()
         self._leader_changed = asyncio.Event()
 
-    @handles(Forward)
-    async def _forward(self, message: Forward) -> Any:
+    @handles(ForwardRequest)
+    async def _forward(self, message: ForwardRequest) -> Any:
         return self.spawn(self._answer_until(message.request, message.deadline_ms))
 
     @handles(LeaderBeat)
     async def _beat(self, message: LeaderBeat) -> None:
         self._served_ms = self._clock.now_ms()
 
-    async def _answer_until(self, message: Forwarded, deadline_ms: int) -> Any:
+    async def _answer_until(self, message: LeaderRequest, deadline_ms: int) -> Any:
         """Return the leader's answer.
 
         Args:
@@ -138,7 +138,7 @@
         while self._clock.now_ms() + ANSWER_MARGIN_MS < deadline_ms:
             left_ms = deadline_ms - self._clock.now_ms() - ANSWER_MARGIN_MS
             try:
-                answer = await self._attempt(message, min(left_ms, ATTEMPT_MS))
+                answer = await self._attempt(message, min(left_ms, ATTEMPT_TIMEOUT_MS))
                 self._served_ms = self._clock.now_ms()
                 return answer
             except (NotOwnerError, OwnerUnreachableError, NoLeaderError) as error:
@@ -154,7 +154,7 @@
             if isinstance(message, GetStepJob):
                 return await self._read_state(message)
             unserved_ms = self._clock.now_ms() - self._served_ms
-            if not was_sent and unserved_ms > NO_LEADER_MS:
+            if not was_sent and unserved_ms > NO_LEADER_TIMEOUT_MS:
                 break
             await asyncio.sleep(RETRY_MS / 1000)
         if was_sent:
@@ -162,7 +162,7 @@
         logs.state_change("request_refused", code=failure.code, leader=self._leader_id)
         raise NoLeaderError(f"no instance could take it: {failure.message}")
 
-    async def _attempt(self, message: Forwarded, timeout_ms: int) -> Any:
+    async def _attempt(self, message: LeaderRequest, timeout_ms: int) -> Any:
         leader_id = self._leader_id
         if not leader_id:
             raise NoLeaderError("no instance leads")
@@ -177,7 +177,7 @@
             raise OutcomeUnknownError("the instance stops") from None
 
     async def _ask_peer(
-        self, leader_id: str, message: Forwarded, timeout_ms: int
+        self, leader_id: str, message: LeaderRequest, timeout_ms: int
     ) -> Any:
         """Ask the leader, but give the call up once another instance leads.
 
--- a/marjoramgrade/filters/queues.py
+++ b/marjoramgrade/filters/queues.py
@@ -9,7 +9,7 @@
 
 from marjoramgrade.actor import Actor
 from marjoramgrade.clock import Clock
-from marjoramgrade.controllers.desk import Forward
+from marjoramgrade.controllers.forwarding import ForwardRequest
 from marjoramgrade.errors import (
     ForbiddenError,
     InvalidInputError,
@@ -51,13 +51,13 @@
         clock: Time.
         metrics: Counters.
         directory: Has the configuration.
-        desk: Hands requests to the leader.
+        forwarder: Hands requests to the leader.
     """
 
     clock: Clock
     metrics: Metrics
     directory: Actor
-    desk: Actor
+    forwarder: Actor
 
 
 QUEUE_FILTERS: Registry[type[Filter]] = Registry("queue filter")
@@ -168,7 +168,9 @@
             ForbiddenError: If the job belongs to another team.
         """
         message: Any = context.message
-        answer = await self._environment.desk.ask(Forward(message, context.deadline_ms))
+        answer = await self._environment.forwarder.ask(
+            ForwardRequest(message, context.deadline_ms)
+        )
         team = getattr(answer, "team", "")
         if team and context.principal.team and team != context.principal.team:
             raise ForbiddenError("the job belongs to another team")
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -17,8 +17,8 @@
 from marjoramgrade.adapters.peerlink import PeerLink, PeerServer
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.controllers.advising import AdvisingController
-from marjoramgrade.controllers.desk import DeskController
 from marjoramgrade.controllers.directory import DirectoryController, DirectoryFormat
+from marjoramgrade.controllers.forwarding import ForwardingController
 from marjoramgrade.controllers.leadership import LeadershipController
 from marjoramgrade.controllers.peers import PeersController
 from marjoramgrade.controllers.readiness import ReadinessController
@@ -126,10 +126,10 @@
             clock,
             self._metrics,
         )
-        desk = DeskController(own.instance_id, scheduler, peers, gate, clock)
+        forwarder = ForwardingController(own.instance_id, scheduler, peers, gate, clock)
         readiness = ReadinessController(self._ready, clock)
         leadership = LeadershipController(
-            own, gate, peers, scheduler, clock, (desk, readiness)
+            own, gate, peers, scheduler, clock, (forwarder, readiness)
         )
         directory = DirectoryController(
             gate,
@@ -155,7 +155,7 @@
             relay_link,
             advisor,
             gate,
-            desk,
+            forwarder,
             readiness,
             scheduler,
             leadership,
@@ -168,10 +168,10 @@
         server = PeerServer(inbound, leadership)
         server.listen(settings.peer_port, settings.host)
         self._stack.push_async_callback(server.close)
-        self._listen(directory, desk)
+        self._listen(directory, forwarder)
 
-    def _listen(self, directory: Actor, desk: Actor) -> None:
-        environment = QueueEnvironment(self._clock, self._metrics, directory, desk)
+    def _listen(self, directory: Actor, forwarder: Actor) -> None:
+        environment = QueueEnvironment(self._clock, self._metrics, directory, forwarder)
         filters = [
             QUEUE_FILTERS.get(name).from_config(environment)  # type: ignore[arg-type]
             for name in DEFAULT_QUEUE_FILTERS
--- a/tests/test_filters_queues.py
+++ b/tests/test_filters_queues.py
@@ -10,7 +10,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import ManualClock
-from marjoramgrade.controllers.desk import Forward
+from marjoramgrade.controllers.forwarding import ForwardRequest
 from marjoramgrade.errors import (
     JobNotFoundError,
     QueueNotFoundError,
@@ -59,24 +59,24 @@
         return self.config
 
 
-class Desk(Actor):
+class FakeForwarder(Actor):
     """Returns what was handed over."""
 
-    @handles(Forward)
-    async def _forward(self, message: Forward) -> object:
+    @handles(ForwardRequest)
+    async def _forward(self, message: ForwardRequest) -> object:
         return message.request
 
 
 @contextlib.asynccontextmanager
 async def chain_to(directory):
-    desk = Desk()
-    environment = QueueEnvironment(ManualClock(), MemoryMetrics(), directory, desk)
+    forwarder = FakeForwarder()
+    environment = QueueEnvironment(ManualClock(), MemoryMetrics(), directory, forwarder)
     filters = [
         QUEUE_FILTERS.get(name).from_config(environment)
         for name in DEFAULT_QUEUE_FILTERS
     ]
     async with contextlib.AsyncExitStack() as stack:
-        for actor in (directory, desk):
+        for actor in (directory, forwarder):
             await actor.start()
             stack.push_async_callback(actor.stop)
         yield Chain(filters, MemoryMetrics())
--- a/tests/test_desk.py
+++ b/tests/test_forwarding.py
@@ -9,10 +9,10 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import ManualClock
-from marjoramgrade.controllers.desk import (
-    NO_LEADER_MS,
-    DeskController,
-    Forward,
+from marjoramgrade.controllers.forwarding import (
+    NO_LEADER_TIMEOUT_MS,
+    ForwardingController,
+    ForwardRequest,
 )
 from marjoramgrade.errors import (
     NoLeaderError,
@@ -41,7 +41,7 @@
     def __init__(self, clock):
         super().__init__()
         self.clock = clock
-        self.is_silent = False
+        self.is_unresponsive = False
         self.failures = []
         self.dead = set()
 
@@ -49,7 +49,7 @@
     async def _call(self, message: CallPeer) -> object:
         if message.instance_id in self.dead:
             return asyncio.get_running_loop().create_future()
-        if self.is_silent:
+        if self.is_unresponsive:
             self.clock.advance(message.timeout_ms)
             raise OutcomeUnknownError("no reply")
         if self.failures:
@@ -64,29 +64,29 @@
 
 
 @contextlib.asynccontextmanager
-async def desk_to_a_leader():
+async def forwarder_to_leader():
     clock = ManualClock()
     leader, store = Leader(clock), MemoryRows()
-    desk = DeskController("own", leader, leader, store, clock)
+    forwarder = ForwardingController("own", leader, leader, store, clock)
     async with contextlib.AsyncExitStack() as stack:
-        for actor in (leader, store, desk):
+        for actor in (leader, store, forwarder):
             await actor.start()
             stack.push_async_callback(actor.stop)
-        desk.tell(LeaderKnown("other", 1))
-        desk.tell(LeaderBeat(1, "other"))
-        yield desk, leader, clock
+        forwarder.tell(LeaderKnown("other", 1))
+        forwarder.tell(LeaderBeat(1, "other"))
+        yield forwarder, leader, clock
 
 
-async def submit(desk, clock):
+async def submit(forwarder, clock):
     message = SubmitStepJob(job("aa"))
-    return await desk.ask(Forward(message, clock.now_ms() + DEADLINE_MS))
+    return await forwarder.ask(ForwardRequest(message, clock.now_ms() + DEADLINE_MS))
 
 
 def test_job_is_handed_to_the_leader():
     # Guards against a request that is refused although the leader answers.
     async def run():
-        async with desk_to_a_leader() as (desk, _, clock):
-            assert (await submit(desk, clock)).created
+        async with forwarder_to_leader() as (forwarder, _, clock):
+            assert (await submit(forwarder, clock)).created
 
     asyncio.run(run())
 
@@ -96,11 +96,11 @@
     # that knows of no leader, while the job runs (kbwb-arrears trouble-2, seed
     # 100282226733).
     async def run():
-        async with desk_to_a_leader() as (desk, leader, clock):
-            leader.is_silent = True
+        async with forwarder_to_leader() as (forwarder, leader, clock):
+            leader.is_unresponsive = True
             began_ms = clock.now_ms()
             with pytest.raises(OutcomeUnknownError):
-                await submit(desk, clock)
+                await submit(forwarder, clock)
             assert clock.now_ms() - began_ms >= DEADLINE_MS - 100
 
     asyncio.run(run())
@@ -112,13 +112,13 @@
 def test_refusal_after_an_attempt_that_may_have_succeeded_is_unknown(refusal):
     # Guards against a job that is refused as not run although a former leader has it.
     async def run():
-        async with desk_to_a_leader() as (desk, leader, clock):
+        async with forwarder_to_leader() as (forwarder, leader, clock):
             leader.failures = [OutcomeUnknownError("no reply"), refusal("not now")]
             with pytest.raises(OutcomeUnknownError):
-                await submit(desk, clock)
+                await submit(forwarder, clock)
             leader.failures = [refusal("not now")]
             with pytest.raises(refusal):
-                await submit(desk, clock)
+                await submit(forwarder, clock)
 
     asyncio.run(run())
 
@@ -126,12 +126,12 @@
 def test_job_that_was_never_sent_is_refused_soon():
     # Guards against callers that wait for a leader until their time is up.
     async def run():
-        async with desk_to_a_leader() as (desk, leader, clock):
+        async with forwarder_to_leader() as (forwarder, leader, clock):
             leader.failures = [OwnerUnreachableError("gone")]
             began_ms = clock.now_ms()
             with pytest.raises(NoLeaderError):
-                await submit(desk, clock)
-            assert clock.now_ms() - began_ms <= NO_LEADER_MS + 400
+                await submit(forwarder, clock)
+            assert clock.now_ms() - began_ms <= NO_LEADER_TIMEOUT_MS + 400
 
     asyncio.run(run())
 
@@ -141,13 +141,13 @@
     # Guards against callers that wait for the answer of a leader without power although
     # another instance leads (kbwb-arrears trouble-3: 1.4 s instead of 0.4 s).
     async def run():
-        async with desk_to_a_leader() as (desk, leader, clock):
+        async with forwarder_to_leader() as (forwarder, leader, clock):
             leader.dead = {"other"}
-            answer = asyncio.ensure_future(submit(desk, clock))
+            answer = asyncio.ensure_future(submit(forwarder, clock))
             await asyncio.sleep(0.05)
             assert not answer.done()
-            desk.tell(LeaderKnown("", 1))
-            desk.tell(LeaderKnown(successor, 2))
+            forwarder.tell(LeaderKnown("", 1))
+            forwarder.tell(LeaderKnown(successor, 2))
             async with asyncio.timeout(1):
                 assert (await answer).created
 
