--- a/marjoramgrade/controllers/storegate.py
+++ b/marjoramgrade/controllers/storerouter.py
@@ -38,7 +38,7 @@
 # A write that has not been answered for this long may have been lost. The time doubles
 # with each write that is given up, so that a store which needs longer is not sent the
 # same write again and again.
-OVERDUE_MS = 400
+INITIAL_OVERDUE_MS = 400
 MAX_OVERDUE_MS = 3_200
 # A slow store takes about three times as long for a write as for a read.
 SLOW_WRITE_FACTOR = 3
@@ -49,7 +49,7 @@
 MAX_RELAYS = 3
 
 
-class StoreGate(Actor):
+class StoreRouter(Actor):
     """Handles the messages of the store by whichever way works.
 
     Args:
@@ -66,7 +66,7 @@
         self._members: list[Member] = []
         self._is_direct = True
         self._relay = 0
-        self._overdue_ms = OVERDUE_MS
+        self._overdue_ms = INITIAL_OVERDUE_MS
         self._subscribers: tuple[Actor, ...] = ()
 
     def connect(self, subscribers: tuple[Actor, ...]) -> None:
@@ -107,7 +107,7 @@
                 self._overdue_ms = min(2 * self._overdue_ms, MAX_OVERDUE_MS)
                 self._regained_direct()
                 raise WriteOutcomeUnknownError("the store answers, but not this write")
-            self._overdue_ms = OVERDUE_MS
+            self._overdue_ms = INITIAL_OVERDUE_MS
             return write.result()
         finally:
             write.cancel()
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -27,7 +27,7 @@
     LeaderDurations,
     StepSchedulerController,
 )
-from marjoramgrade.controllers.storegate import StoreGate
+from marjoramgrade.controllers.storerouter import StoreRouter
 from marjoramgrade.errors import SettingsError
 from marjoramgrade.exposition import ServedMetrics
 from marjoramgrade.filters.chain import Chain
@@ -111,14 +111,14 @@
         peers = PeersController(
             own, link, lambda member: PeerLink(own.instance_id, own.host, member)
         )
-        gate = StoreGate(own.instance_id, link, peers)
+        router = StoreRouter(own.instance_id, link, peers)
         terms = LeaderDurations(
             min(HOLD_MS, settings.longest_lease_ms),
             settings.status_s * 1_000,
         )
         scheduler = StepSchedulerController(
             own.instance_id,
-            gate,
+            router,
             peers,
             advisor,
             RunnerClient,
@@ -126,13 +126,15 @@
             clock,
             self._metrics,
         )
-        forwarder = ForwardingController(own.instance_id, scheduler, peers, gate, clock)
+        forwarder = ForwardingController(
+            own.instance_id, scheduler, peers, router, clock
+        )
         readiness = ReadinessController(self._ready, clock)
         leadership = LeadershipController(
-            own, gate, peers, scheduler, clock, (forwarder, readiness)
+            own, router, peers, scheduler, clock, (forwarder, readiness)
         )
         directory = DirectoryController(
-            gate,
+            router,
             DirectoryFormat(
                 configuration.OPERATOR_TABLE,
                 configuration.WORKER_TABLE,
@@ -146,15 +148,15 @@
             scheduler,
         )
         scheduler.connect(directory, leadership)
-        gate.connect((leadership,))
-        peers.connect((gate, leadership, scheduler))
+        router.connect((leadership,))
+        peers.connect((router, leadership, scheduler))
         self._leadership = leadership
         inbound = StepInboundController(leadership, scheduler, advisor, relay_link)
         actors: tuple[Actor, ...] = (
             link,
             relay_link,
             advisor,
-            gate,
+            router,
             forwarder,
             readiness,
             scheduler,
--- a/tests/test_storegate.py
+++ b/tests/test_storerouter.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marjoramgrade.actor import Actor, handles
-from marjoramgrade.controllers.storegate import StoreGate
+from marjoramgrade.controllers.storerouter import StoreRouter
 from marjoramgrade.errors import (
     OutcomeUnknownError,
     OwnerUnreachableError,
@@ -47,25 +47,25 @@
 
 
 @contextlib.asynccontextmanager
-async def gate_to(mode, **error_by_id):
+async def router_to(mode, **error_by_id):
     link = MemoryRows()
     link.mode = mode
     relays = Relays(MemoryRows(), error_by_id)
-    gate = StoreGate("own", link, relays)
+    router = StoreRouter("own", link, relays)
     async with contextlib.AsyncExitStack() as stack:
-        for actor in (link, relays, gate):
+        for actor in (link, relays, router):
             await actor.start()
             stack.push_async_callback(actor.stop)
         members = [Member(n, "z", "127.0.0.1", 1) for n in ("own", "b", "c", "d")]
-        gate.tell(MembersChanged(tuple(members)))
-        yield gate, link, relays
+        router.tell(MembersChanged(tuple(members)))
+        yield router, link, relays
 
 
 def test_direct_way_is_used_while_it_works():
     # Guards against needless hops.
     async def run():
-        async with gate_to("ok") as (gate, link, relays):
-            await gate.ask(WRITE)
+        async with router_to("ok") as (router, link, relays):
+            await router.ask(WRITE)
             assert ROW in link.rows
             assert relays.asked == []
 
@@ -76,10 +76,10 @@
     # Guards against going round relays that are cut off, 1.5 s for each write.
     async def run():
         gone = OwnerUnreachableError("gone")
-        async with gate_to("down", b=gone) as (gate, _, relays):
-            await gate.ask(WRITE)
+        async with router_to("down", b=gone) as (router, _, relays):
+            await router.ask(WRITE)
             assert relays.asked == ["b", "c"]
-            await gate.ask(WRITE)
+            await router.ask(WRITE)
             assert relays.asked[2:] == ["c"]
 
     asyncio.run(run())
@@ -89,9 +89,9 @@
     # Guards against taking an answer of the store for a failure of the way.
     async def run():
         error = RowCheckFailedError("changed")
-        async with gate_to("down", b=error) as (gate, _, relays):
+        async with router_to("down", b=error) as (router, _, relays):
             with pytest.raises(RowCheckFailedError):
-                await gate.ask(CommitRows((RowCheck(ROW, 1),), ()))
+                await router.ask(CommitRows((RowCheck(ROW, 1),), ()))
             assert relays.asked == ["b"]
 
     asyncio.run(run())
@@ -100,9 +100,9 @@
 def test_write_that_a_relay_may_have_made_is_unknown():
     # Guards against a write that is reported as not made and takes effect.
     async def run():
-        async with gate_to("down", b=OutcomeUnknownError("cut")) as (gate, _, _):
+        async with router_to("down", b=OutcomeUnknownError("cut")) as (router, _, _):
             with pytest.raises(WriteOutcomeUnknownError):
-                await gate.ask(WRITE)
+                await router.ask(WRITE)
 
     asyncio.run(run())
 
@@ -110,12 +110,12 @@
 def test_direct_way_is_taken_again_once_it_works():
     # Guards against relaying for ever after a short failure.
     async def run():
-        async with gate_to("down") as (gate, link, relays):
-            await gate.ask(WRITE)
+        async with router_to("down") as (router, link, relays):
+            await router.ask(WRITE)
             link.mode = "ok"
             await asyncio.sleep(0.6)
             relays.asked.clear()
-            await gate.ask(ReadRows("jobs", "p0"))
+            await router.ask(ReadRows("jobs", "p0"))
             assert relays.asked == []
 
     asyncio.run(run())
@@ -125,9 +125,9 @@
     # Guards against a caller that hangs while the store is away.
     async def run():
         errors = {n: TableUnavailableError("down") for n in ("b", "c", "d")}
-        async with gate_to("down", **errors) as (gate, _, _):
+        async with router_to("down", **errors) as (router, _, _):
             with pytest.raises(TableUnavailableError):
-                await gate.ask(WRITE)
+                await router.ask(WRITE)
 
     asyncio.run(run())
 
@@ -137,9 +137,9 @@
     # callers used up their returns in that half second (grown kbwb-arrears trouble-1).
     async def run():
         errors = {n: OutcomeUnknownError("silent") for n in ("b", "c", "d")}
-        async with gate_to("hang", **errors) as (gate, link, _):
+        async with router_to("hang", **errors) as (router, link, _):
             loop = asyncio.get_running_loop()
-            write = asyncio.ensure_future(gate.ask(WRITE))
+            write = asyncio.ensure_future(router.ask(WRITE))
             await asyncio.sleep(0.6)
             assert not write.done()
             link.mode = "ok"
@@ -147,7 +147,7 @@
             with pytest.raises(WriteOutcomeUnknownError):
                 await write
             assert loop.time() - back_s < 0.3
-            await gate.ask(WRITE)
+            await router.ask(WRITE)
             assert ROW in link.rows
 
     asyncio.run(run())
@@ -156,15 +156,15 @@
 def test_relay_is_not_waited_for_once_the_store_answers_again():
     # Guards against a write that waits for a relay which asked a silent store.
     async def run():
-        async with gate_to("down") as (gate, link, relays):
+        async with router_to("down") as (router, link, relays):
             silent = asyncio.get_running_loop().create_future()
             relays.answer_later = silent
-            write = asyncio.ensure_future(gate.ask(WRITE))
+            write = asyncio.ensure_future(router.ask(WRITE))
             await asyncio.sleep(0.1)
             link.mode = "ok"
             with pytest.raises(WriteOutcomeUnknownError):
                 await write
-            await gate.ask(WRITE)
+            await router.ask(WRITE)
             assert ROW in link.rows
             silent.cancel()
 
@@ -173,7 +173,7 @@
 
 def test_slow_write_is_not_given_up_while_reads_are_slow_too():
     # Guards against sending a slow store the same write again and again.
-    class SlowRows(MemoryRows):
+    class SlowStore(MemoryRows):
         def handle_slowly(self, seconds, message):
             async def work():
                 await asyncio.sleep(seconds)
@@ -191,13 +191,13 @@
             return self.handle_slowly(0.28, CommitRows((), ()))
 
     async def run():
-        link = SlowRows()
-        gate = StoreGate("own", link, Relays(MemoryRows(), {}))
+        link = SlowStore()
+        router = StoreRouter("own", link, Relays(MemoryRows(), {}))
         async with contextlib.AsyncExitStack() as stack:
-            for actor in (link, gate):
+            for actor in (link, router):
                 await actor.start()
                 stack.push_async_callback(actor.stop)
-            await gate.ask(WRITE)
+            await router.ask(WRITE)
             assert link.commits == 1
 
     asyncio.run(run())
@@ -207,32 +207,32 @@
     # Guards against a return that is noticed late because all probes still wait for
     # what the silent store will never answer (kbwb-arrears trouble-3: 0.23 s after the
     # return, in which six callers were refused for the last time).
-    class SilentRows(MemoryRows):
+    class UnresponsiveStore(MemoryRows):
         def __init__(self):
             super().__init__()
             self.read_s = []
 
-        async def stay_silent(self, timeout_ms):
+        async def time_out(self, timeout_ms):
             await asyncio.sleep(timeout_ms / 1000)
             raise TableUnavailableError("no answer in time")
 
         @handles(CommitRows)
         async def _commit(self, message: CommitRows) -> object:
-            return self.spawn(self.stay_silent(10_000))
+            return self.spawn(self.time_out(10_000))
 
         @handles(ReadRows)
         async def _read(self, message: ReadRows) -> object:
             self.read_s.append(asyncio.get_running_loop().time())
-            return self.spawn(self.stay_silent(message.timeout_ms or 1_200))
+            return self.spawn(self.time_out(message.timeout_ms or 1_200))
 
     async def run():
-        link = SilentRows()
-        gate = StoreGate("own", link, Relays(MemoryRows(), {}))
+        link = UnresponsiveStore()
+        router = StoreRouter("own", link, Relays(MemoryRows(), {}))
         async with contextlib.AsyncExitStack() as stack:
-            for actor in (link, gate):
+            for actor in (link, router):
                 await actor.start()
                 stack.push_async_callback(actor.stop)
-            write = asyncio.ensure_future(gate.ask(WRITE))
+            write = asyncio.ensure_future(router.ask(WRITE))
             await asyncio.sleep(2.5)
             write.cancel()
             gaps_s = [b - a for a, b in itertools.pairwise(link.read_s)]
