--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -12,7 +12,7 @@
 from marjoramgrade.actor import Actor
 from marjoramgrade.clock import Clock
 from marjoramgrade.controllers.commits import CommitController, SaveRows
-from marjoramgrade.controllers.workerlink import ConnectWorker, WorkerLink
+from marjoramgrade.controllers.stepworkerlink import ConnectWorker, StepWorkerLink
 from marjoramgrade.decisions.stepactions import (
     AskAdvice,
     PaceRun,
@@ -116,7 +116,7 @@
     state: StepState
     planner: Planner
     supervisor: Supervisor
-    link_by_worker: dict[str, WorkerLink] = attrs.field(factory=dict)
+    link_by_worker: dict[str, StepWorkerLink] = attrs.field(factory=dict)
     pending_submission_by_job: dict[str, asyncio.Task[StepJobAccepted]] = attrs.field(
         factory=dict
     )
@@ -270,7 +270,7 @@
                 + GRANT_LIMIT_MS
                 + self._terms.worker_lease_ms * 11 // 10
             )
-        link = WorkerLink(
+        link = StepWorkerLink(
             worker,
             self._connect(worker),
             self,
--- a/marjoramgrade/controllers/workerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -42,14 +42,14 @@
 ALERT_WAIT_MS = 200
 # While ends wait to be stored, or have just come, the worker is asked again after
 # this time; it would answer at once each time.
-UNSTORED_PAUSE_MS = 120
+ACKNOWLEDGEMENT_WAIT_MS = 120
 # After a call that brought no answer.
-RETRY_PAUSE_MS = 150
+RETRY_DELAY_MS = 150
 # A worker counts as silent after this many calls in a row without an answer.
-FAILURES_TO_SILENT = 2
+FAILURES_TO_UNRESPONSIVE = 2
 
 
-class WorkerLink(Actor):
+class StepWorkerLink(Actor):
     """Owns the calls to one life of a worker.
 
     Args:
@@ -57,9 +57,9 @@
         port: Its client.
         scheduler: Told what the worker says.
         clock: Monotonic time.
-        hold_ms: Length of the leases that are granted.
+        worker_lease_ms: Length of the leases that are granted.
         fence: The first fence.
-        expired_ms: Our time after which leases of earlier leaders have run out.
+        earliest_expiry_ms: Our time after which leases of earlier leaders have run out.
     """
 
     def __init__(
@@ -68,18 +68,18 @@
         port: WorkerPort,
         scheduler: Actor,
         clock: Clock,
-        hold_ms: int,
+        worker_lease_ms: int,
         fence: int,
-        expired_ms: int,
+        earliest_expiry_ms: int,
     ) -> None:
         super().__init__()
         self._worker_id = worker.worker_id
         self._port = port
         self._scheduler = scheduler
         self._clock = clock
-        self._hold_ms = hold_ms
+        self._worker_lease_ms = worker_lease_ms
         self._fence = fence
-        self._lease = WorkerLease(earliest_expiry_ms=expired_ms)
+        self._lease = WorkerLease(earliest_expiry_ms=earliest_expiry_ms)
         self._acknowledged = 0
         self._born_unix_ms = 0
         self._last_end = 0
@@ -211,7 +211,7 @@
         if not self._lease.clock_received_ms or self._failures or not self._may_grant():
             return self._lease.granted_until_clock_ms
         now_ms = self._clock.now_ms()
-        expiry = self._lease.earliest_clock_ms(now_ms) + self._hold_ms
+        expiry = self._lease.earliest_clock_ms(now_ms) + self._worker_lease_ms
         self._lease.granted_until_clock_ms = max(
             self._lease.granted_until_clock_ms, expiry
         )
@@ -221,7 +221,7 @@
         while True:
             wait_ms = self._wait_ms() if self._is_settled() else 0
             if not await self._list(wait_ms):
-                await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+                await asyncio.sleep(RETRY_DELAY_MS / 1000)
             elif not self._is_settled():
                 await self._wait_for_acknowledgement()
 
@@ -237,7 +237,7 @@
     async def _wait_for_acknowledgement(self) -> None:
         self._changed.clear()
         try:
-            async with asyncio.timeout(UNSTORED_PAUSE_MS / 1000):
+            async with asyncio.timeout(ACKNOWLEDGEMENT_WAIT_MS / 1000):
                 while not self._is_settled():
                     await self._changed.wait()
                     self._changed.clear()
@@ -247,7 +247,7 @@
     async def _list_now(self) -> None:
         fence = self._fence
         while fence == self._fence and not await self._list(0):
-            await asyncio.sleep(RETRY_PAUSE_MS / 1000)
+            await asyncio.sleep(RETRY_DELAY_MS / 1000)
 
     async def _list(self, wait_ms: int) -> bool:
         """List the runs once; returns whether the worker answered."""
@@ -276,7 +276,7 @@
         self._lease.record_clock(listing.clock_ms, self._clock.now_ms())
         for end in listing.ended:
             self._last_end = max(self._last_end, end.number)
-        if self._failures >= FAILURES_TO_SILENT:
+        if self._failures >= FAILURES_TO_UNRESPONSIVE:
             logs.state_change("worker_answers", worker=self._worker_id)
         self._failures = 0
         self._reported_expiry = False
@@ -284,7 +284,7 @@
     def _failed(self, error: WorkerError | InvalidInputError) -> bool:
         self._failures += 1
         self._scheduler.tell(CallUnanswered(self._worker_id))
-        if self._failures == FAILURES_TO_SILENT:
+        if self._failures == FAILURES_TO_UNRESPONSIVE:
             logs.state_change(
                 "worker_silent",
                 worker=self._worker_id,
@@ -295,7 +295,7 @@
         expired = isinstance(error, WorkerReplacedError) or self._lease.has_expired(
             self._clock.now_ms()
         )
-        if self._failures >= FAILURES_TO_SILENT and not self._reported_expiry:
+        if self._failures >= FAILURES_TO_UNRESPONSIVE and not self._reported_expiry:
             self._reported_expiry = expired
             if expired:
                 logs.state_change("worker_expired", worker=self._worker_id)
--- a/tests/test_workerlink.py
+++ b/tests/test_stepworkerlink.py
@@ -7,7 +7,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import SystemClock
-from marjoramgrade.controllers.workerlink import WorkerLink
+from marjoramgrade.controllers.stepworkerlink import StepWorkerLink
 from marjoramgrade.controllers.workerport import WorkerPort
 from marjoramgrade.errors import (
     WorkerReplacedError,
@@ -68,32 +68,32 @@
 class Scheduler(Actor):
     def __init__(self):
         super().__init__()
-        self.heard = []
+        self.received = []
 
     @handles(WorkerListed)
     async def _listed(self, message: WorkerListed) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     @handles(WorkerSilent)
     async def _silent(self, message: WorkerSilent) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     @handles(StartAnswered)
     async def _answered(self, message: StartAnswered) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     @handles(CallUnanswered)
     async def _unanswered(self, message: CallUnanswered) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     def of(self, kind):
-        return [message for message in self.heard if isinstance(message, kind)]
+        return [message for message in self.received if isinstance(message, kind)]
 
 
 @contextlib.asynccontextmanager
 async def linked(granted=True):
     port, scheduler, clock = Port(), Scheduler(), SystemClock()
-    link = WorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
+    link = StepWorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
     async with contextlib.AsyncExitStack() as stack:
         for actor in (scheduler, link):
             await actor.start()
@@ -225,7 +225,7 @@
 
     async def run():
         port, scheduler, clock = Waiting(), Scheduler(), SystemClock()
-        link = WorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
+        link = StepWorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
         async with contextlib.AsyncExitStack() as stack:
             for actor in (scheduler, link):
                 await actor.start()
