--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -36,7 +36,7 @@
 from marjoramgrade.metrics import Metrics
 
 # The store takes 100 entries in a transaction; each row has a check and a write.
-MAX_ROWS = 48
+MAX_ROWS_PER_TRANSACTION = 48
 # A transaction holds 1 MB; base64 makes a third more of each value.
 MAX_BATCH_BYTES = 600_000
 # Between attempts while the store is unavailable.
@@ -53,20 +53,20 @@
 
     Attributes:
         writes: The rows.
-        may_refuse: Whether a caller waits who can be refused. Such rows go before the
+        is_refusable: Whether a caller waits who can be refused. Such rows go before the
             others and are answered by themselves. If the store turns out to be out of
             reach before they were ever sent, the request is given up with
             `TableRefusedError`.
     """
 
     writes: tuple[RowWrite, ...]
-    may_refuse: bool = False
+    is_refusable: bool = False
 
 
 @attrs.define
 class _Request:
     writes: tuple[RowWrite, ...]
-    may_refuse: bool
+    is_refusable: bool
     done: asyncio.Future[None]
 
 
@@ -119,9 +119,9 @@
     async def _save(self, message: SaveRows) -> Any:
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.add_done_callback(lambda f: f.cancelled() or f.exception())
-        if message.may_refuse and not self._reachable:
+        if message.is_refusable and not self._reachable:
             raise TableRefusedError("the store cannot be reached")
-        self._queue.append(_Request(message.writes, message.may_refuse, done))
+        self._queue.append(_Request(message.writes, message.is_refusable, done))
         self._wake.set()
         return done
 
@@ -143,7 +143,9 @@
         for request in self._queue:
             rows.update(write.row for write in request.writes)
             size += sum(len(write.value) for write in request.writes)
-            if batch and (len(rows) > MAX_ROWS or size > MAX_BATCH_BYTES):
+            if batch and (
+                len(rows) > MAX_ROWS_PER_TRANSACTION or size > MAX_BATCH_BYTES
+            ):
                 break
             batch.append(request)
         del self._queue[: len(batch)]
@@ -160,7 +162,7 @@
         waiting: set[RowId] = set()
         for request in self._queue:
             rows = {write.row for write in request.writes}
-            if request.may_refuse and waiting.isdisjoint(rows):
+            if request.is_refusable and waiting.isdisjoint(rows):
                 jobs.append(request)
             else:
                 others.append(request)
@@ -258,7 +260,7 @@
     def _refuse_unsent(self) -> None:
         """Refuse truthfully what was never sent and may be refused."""
         for request in self._queue:
-            if request.may_refuse and not request.done.done():
+            if request.is_refusable and not request.done.done():
                 request.done.set_exception(
                     TableRefusedError("the store cannot be reached")
                 )
--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -30,12 +30,12 @@
 
 # A watch waits this long for a change: within it a connection that went silent is
 # noticed, well inside the two seconds in which a change must be in force.
-WATCH_MS = 1_000
+WATCH_WAIT_MS = 1_000
 RETRY_MS = 100
 # Every worker changes its entry with each heartbeat, 120 times a second in a fleet of
 # 176. Looking this long after the last look costs a call for many of them; a worker
 # that leaves says so two seconds before work must stop going there.
-WORKER_PAUSE_MS = 150
+WORKER_WATCH_PAUSE_MS = 150
 
 
 @attrs.frozen
@@ -105,7 +105,9 @@
             self._worker_by_id = {}
             self._worker_watch = self.spawn(
                 self._watch(
-                    self._format.worker_table, self._workers_wrote, WORKER_PAUSE_MS
+                    self._format.worker_table,
+                    self._workers_wrote,
+                    WORKER_WATCH_PAUSE_MS,
                 )
             )
 
@@ -142,7 +144,7 @@
                 if after is None:
                     rows, after = await self._read_whole(table)
                     changed(rows, True)
-                page = await self._store.ask(WatchRows(table, after, WATCH_MS))
+                page = await self._store.ask(WatchRows(table, after, WATCH_WAIT_MS))
                 after = page.version
                 if page.rows:
                     changed(page.rows, False)
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -90,7 +90,7 @@
         # planned from now on is stored after the job.
         self._schedule_plan(lead)
         try:
-            await self._settle(lead, write, may_refuse=True)
+            await self._settle(lead, write, is_refusable=True)
         except TableRefusedError:
             lead.state.remove_job(job.job_id)
             raise
@@ -125,7 +125,7 @@
 
     @staticmethod
     async def _settle(
-        lead: LeaderState, *writes: RowWrite, may_refuse: bool = False
+        lead: LeaderState, *writes: RowWrite, is_refusable: bool = False
     ) -> None:
         """Wait until the store holds a job.
 
@@ -134,7 +134,7 @@
             OutcomeUnknownError: If the lead ends first; a successor may find it.
         """
         try:
-            await lead.commits.ask(SaveRows(writes, may_refuse))
+            await lead.commits.ask(SaveRows(writes, is_refusable))
         except (NotOwnerError, ShuttingDownError):
             raise OutcomeUnknownError("the lead ended before an answer") from None
 
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -24,19 +24,19 @@
 class Listener(Actor):
     def __init__(self):
         super().__init__()
-        self.heard = []
+        self.received = []
 
     @handles(LeadConfirmed)
     async def _confirmed(self, message: LeadConfirmed) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     @handles(StepDown)
     async def _down(self, message: StepDown) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
     @handles(StoreReachable)
     async def _reachable(self, message: StoreReachable) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
 
 @contextlib.asynccontextmanager
@@ -117,7 +117,7 @@
                 await controller.ask(save(b"x"))
             await asyncio.sleep(0.01)
             assert ROW not in store.rows
-            assert StepDown(1, "another instance leads") in listener.heard
+            assert StepDown(1, "another instance leads") in listener.received
 
     asyncio.run(run())
 
@@ -133,12 +133,12 @@
             stuck = asyncio.ensure_future(controller.ask(save(b"sent")))
             await asyncio.sleep(0.02)
             unsent = controller.ask(
-                save(b"x", RowId("jobs", "p0", "b"), may_refuse=True)
+                save(b"x", RowId("jobs", "p0", "b"), is_refusable=True)
             )
             with pytest.raises(TableRefusedError):
                 await asyncio.wait_for(unsent, 1)
             assert not stuck.done()
-            assert StoreReachable(False) in listener.heard
+            assert StoreReachable(False) in listener.received
             stuck.cancel()
 
     asyncio.run(run())
@@ -186,7 +186,7 @@
     # Guards against callers who wait until their deadline while a slow store takes the
     # progress of all running jobs, 48 rows in 0.7 s (kbwb-arrears-grown trouble-2).
     progress = [save(b"p", RowId("progress", "p0", f"p{n}")) for n in range(120)]
-    job = save(b"j", RowId("jobs", "p0", "new"), may_refuse=True)
+    job = save(b"j", RowId("jobs", "p0", "new"), is_refusable=True)
     batches = asyncio.run(order_of_commits(*progress, job))
     assert len(batches) == 3
     assert "new" in batches[0]
@@ -196,7 +196,7 @@
     # Guards against a job that is handed in again and then removed with its first life.
     row = RowId("jobs", "p0", "again")
     remove = SaveRows((RowWrite(row, remove=True),))
-    again = save(b"j", row, may_refuse=True)
+    again = save(b"j", row, is_refusable=True)
 
     async def run():
         async with leading() as (store, controller, _):
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,7 +7,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.controllers.directory import (
-    WORKER_PAUSE_MS,
+    WORKER_WATCH_PAUSE_MS,
     DirectoryController,
     DirectoryFormat,
 )
@@ -87,6 +87,6 @@
             async with asyncio.timeout(10):
                 while len(scheduler.listed) < 5:
                     await asyncio.sleep(0.01)
-            assert loop.time() - began_s >= 4 * WORKER_PAUSE_MS / 1000
+            assert loop.time() - began_s >= 4 * WORKER_WATCH_PAUSE_MS / 1000
 
     asyncio.run(run())
