--- a/tests/rowstore.py
+++ b/tests/rowstore.py
@@ -22,13 +22,13 @@
 )
 
 
-class MemoryRows(Actor):
+class MemoryRowStore(Actor):
     """Handles the messages of the store.
 
     Attributes:
         rows: The rows.
         mode: `ok`, `down` (nothing is done), `lost` (done and not answered), `late`
-            (neither answered nor done until `deliver`), or `hang`.
+            (neither answered nor done until `apply_late`), or `hang`.
         commits: How many transactions came.
     """
 
@@ -58,7 +58,7 @@
                 self.rows[write.row] = StoredRow(write.row, write.value, self.version)
         return RowsCommitted(self.version)
 
-    def deliver(self) -> None:
+    def apply_late(self) -> None:
         """Carry out what was late, if its checks still hold."""
         for message in self.late:
             try:
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -16,7 +16,7 @@
 from marjoramgrade.messages.steps import LeadConfirmed, StepDown, StoreReachable
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.steprows import EPOCH_ROW
-from tests.rowstore import MemoryRows
+from tests.rowstore import MemoryRowStore
 
 ROW = RowId("jobs", "p0", "a")
 
@@ -41,7 +41,7 @@
 
 @contextlib.asynccontextmanager
 async def leading(store=None):
-    store = store or MemoryRows()
+    store = store or MemoryRowStore()
     listener = Listener()
     row = RowWrite(EPOCH_ROW, b"1")
     version = store.apply(CommitRows((), (row,))).version
@@ -102,7 +102,7 @@
             store.mode = "ok"
             await first
             await controller.ask(save(b"new"))
-            store.deliver()
+            store.apply_late()
             assert store.rows[ROW].value == b"new"
 
     asyncio.run(run())
@@ -160,7 +160,7 @@
 async def order_of_commits(*saves):
     """Return the rows of each transaction that follows one which is on its way."""
 
-    class Slow(MemoryRows):
+    class Slow(MemoryRowStore):
         def __init__(self):
             super().__init__()
             self.batches = []
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -29,7 +29,7 @@
     StepJobAccepted,
     SubmitStepJob,
 )
-from tests.rowstore import MemoryRows
+from tests.rowstore import MemoryRowStore
 from tests.steps import job
 
 DEADLINE_MS = 3_000
@@ -66,7 +66,7 @@
 @contextlib.asynccontextmanager
 async def forwarder_to_leader():
     clock = ManualClock()
-    leader, store = Leader(clock), MemoryRows()
+    leader, store = Leader(clock), MemoryRowStore()
     forwarder = ForwardingController("own", leader, leader, store, clock)
     async with contextlib.AsyncExitStack() as stack:
         for actor in (leader, store, forwarder):
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -34,7 +34,7 @@
     parse_row,
     serialize_row,
 )
-from tests.rowstore import MemoryRows
+from tests.rowstore import MemoryRowStore
 
 
 class Recorder(Actor):
@@ -120,7 +120,7 @@
 def test_first_instance_takes_an_unheld_lead():
     # Guards against a system in which nobody leads after its first start.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         async with instance(store) as (_, recorder):
             await until(lambda: took(recorder, 1))
 
@@ -130,7 +130,7 @@
 def test_leader_that_no_longer_writes_is_replaced():
     # Guards against jobs that wait for a leader without power.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (_, recorder):
             await until(lambda: took(recorder, 5))
@@ -141,7 +141,7 @@
 def test_leader_that_is_heard_keeps_the_lead():
     # Guards against takeovers from a leader that works.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (leadership, recorder):
             for _ in range(20):
@@ -155,7 +155,7 @@
 def test_leader_that_writes_and_is_not_heard_here_keeps_the_lead():
     # Guards against an instance that is cut off and takes the lead from all others.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "b")
         known = members(a=1, b=1, c=1, d=1)
         async with instance(store, known=known) as (_, recorder):
@@ -172,7 +172,7 @@
 def test_leader_that_starts_again_goes_on_at_once():
     # Guards against waiting for a standstill after all instances were killed.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "a")
         async with instance(store) as (_, recorder):
             await until(lambda: took(recorder, 5), 0.6)
@@ -183,7 +183,7 @@
 def test_lead_that_was_given_up_is_taken_at_once():
     # Guards against a pause after each planned stop of the leader.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "")
         async with instance(store) as (leadership, recorder):
             leadership.tell(LeaderLeft(4))
@@ -196,7 +196,7 @@
     # Guards against a row that names a leader who does not know of it; each such
     # takeover cost seconds on a slow store.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "")
         store.mode = "lost"
         async with instance(store) as (_, recorder):
@@ -210,7 +210,7 @@
 def test_leader_that_only_others_reach_the_store_for_hands_over():
     # Guards against a leader that writes through relays, each of them slow.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
             leadership.tell(StoreContact(False, False))
@@ -226,7 +226,7 @@
     # Guards against a hand-over, 0.8 s without a leader, because the first answer after
     # an outage of the whole store came through a relay (kbwb-arrears trouble-3).
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
             leadership.tell(StoreContact(False, False))
@@ -244,7 +244,7 @@
     # Guards against 0.4 s more without a leader after each loss of one: the row was
     # only watched from the end of the silence on (ledgerwell-accounts-grown trouble-3).
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (leadership, recorder):
             leadership.tell(LeaderBeat(4, "b", 1_000))
@@ -257,7 +257,7 @@
 def test_leader_that_renews_after_its_last_beat_is_kept():
     # Guards against replacing a leader that this instance alone does not hear.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (leadership, recorder):
             leadership.tell(LeaderBeat(4, "b", 1_000))
@@ -273,7 +273,7 @@
 def test_strongest_instance_takes_the_lead_first():
     # Guards against a leader with a slow link while there are better ones.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         known = members(a=100, b=2_000)
         async with (
             instance(store, "a", known=known) as (_, weak),
@@ -289,7 +289,7 @@
     # Guards against a lead that moves with every step of a rolling restart, because
     # the successor is the next to be stopped (recorded day inc-3ecb).
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         known = (
             Member("a", "north", "127.0.0.1", 1, 5, 1_000),
             Member("b", "north", "127.0.0.1", 1, 9, 1_000),
@@ -306,7 +306,7 @@
 
 def test_slow_store_gives_the_leader_more_time():
     # Guards against takeovers that chase each other while renewals take a second.
-    class SlowRows(MemoryRows):
+    class SlowRows(MemoryRowStore):
         @handles(ReadRows)
         async def _read(self, message: ReadRows) -> RowsPage:
             await asyncio.sleep(0.25)
@@ -329,7 +329,7 @@
     # Guards against a process that ends because it leads before it has read the
     # list of members (hunt-a8c3-39 of kbwb-arrears).
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 4, "")
         async with instance(store) as (leadership, recorder):
             leadership.tell(MembersChanged(()))
@@ -343,7 +343,7 @@
 def test_leader_steps_down_when_it_hears_of_a_newer_one():
     # Guards against two leaders that both go on.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
             leadership.tell(LeaderBeat(2, "b"))
@@ -356,7 +356,7 @@
     """Return whether an instance leads 0.25 s after a connection of its leader ends."""
 
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         write_leader(store, 1, "b")
         async with instance(store, known=known) as (leadership, recorder):
             recorder.alive = alive
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -45,7 +45,7 @@
     WorkerListing,
 )
 from marjoramgrade.steprows import EPOCH_ROW, job_row, progress_row
-from tests.rowstore import MemoryRows
+from tests.rowstore import MemoryRowStore
 from tests.steps import URGENT, cores, job, worker
 
 
@@ -112,7 +112,7 @@
 
 @contextlib.asynccontextmanager
 async def leading(store=None, epoch=1, config=None):
-    store = store or MemoryRows()
+    store = store or MemoryRowStore()
     peers = Nobody()
     ports = {}
 
@@ -223,7 +223,7 @@
 def test_repeated_job_waits_only_for_its_own_row():
     # Guards against callers whose job is stored but who wait for the progress of all
     # others, on a slow store until their deadline (kbwb-arrears-grown trouble-2).
-    class Slow(MemoryRows):
+    class Slow(MemoryRowStore):
         @handles(CommitRows)
         async def _commit(self, message: CommitRows) -> object:
             async def answer():
@@ -266,7 +266,7 @@
 def test_successor_goes_on_with_what_the_store_has():
     # Guards against accepted jobs that are lost with their leader.
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         await store.start()
         async with leading(store) as (_, scheduler, _):
             await scheduler.ask(SubmitStepJob(job("done")))
@@ -286,7 +286,7 @@
     # because the new leader has not read the configuration or the queue was dropped
     # (hunt-a8c3-39 of kbwb-arrears).
     async def run():
-        store = MemoryRows()
+        store = MemoryRowStore()
         await store.start()
         async with leading(store) as (_, scheduler, _):
             await scheduler.ask(SubmitStepJob(job("a", Step(40, cores(1)))))
@@ -321,7 +321,7 @@
                 await scheduler.ask(GetStepJob("none"))
         follower = StepSchedulerController(
             "own",
-            MemoryRows(),
+            MemoryRowStore(),
             Nobody(),
             Nobody(),
             FakePort,
--- a/tests/test_storerouter.py
+++ b/tests/test_storerouter.py
@@ -19,7 +19,7 @@
 )
 from marjoramgrade.messages.peers import CallPeer, Member, MembersChanged
 from marjoramgrade.messages.rows import CommitRows, ReadRows, RowCheck, RowId, RowWrite
-from tests.rowstore import MemoryRows
+from tests.rowstore import MemoryRowStore
 
 ROW = RowId("jobs", "p0", "a")
 WRITE = CommitRows((), (RowWrite(ROW, b"x"),))
@@ -48,9 +48,9 @@
 
 @contextlib.asynccontextmanager
 async def router_to(mode, **error_by_id):
-    link = MemoryRows()
+    link = MemoryRowStore()
     link.mode = mode
-    relays = Relays(MemoryRows(), error_by_id)
+    relays = Relays(MemoryRowStore(), error_by_id)
     router = StoreRouter("own", link, relays)
     async with contextlib.AsyncExitStack() as stack:
         for actor in (link, relays, router):
@@ -173,7 +173,7 @@
 
 def test_slow_write_is_not_given_up_while_reads_are_slow_too():
     # Guards against sending a slow store the same write again and again.
-    class SlowStore(MemoryRows):
+    class SlowStore(MemoryRowStore):
         def handle_slowly(self, seconds, message):
             async def work():
                 await asyncio.sleep(seconds)
@@ -192,7 +192,7 @@
 
     async def run():
         link = SlowStore()
-        router = StoreRouter("own", link, Relays(MemoryRows(), {}))
+        router = StoreRouter("own", link, Relays(MemoryRowStore(), {}))
         async with contextlib.AsyncExitStack() as stack:
             for actor in (link, router):
                 await actor.start()
@@ -207,7 +207,7 @@
     # Guards against a return that is noticed late because all probes still wait for
     # what the silent store will never answer (kbwb-arrears trouble-3: 0.23 s after the
     # return, in which six callers were refused for the last time).
-    class UnresponsiveStore(MemoryRows):
+    class UnresponsiveStore(MemoryRowStore):
         def __init__(self):
             super().__init__()
             self.read_s = []
@@ -227,7 +227,7 @@
 
     async def run():
         link = UnresponsiveStore()
-        router = StoreRouter("own", link, Relays(MemoryRows(), {}))
+        router = StoreRouter("own", link, Relays(MemoryRowStore(), {}))
         async with contextlib.AsyncExitStack() as stack:
             for actor in (link, router):
                 await actor.start()
