--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -71,7 +71,7 @@
             state.outcomes.failed(job_id, outcomes)
             return
         state.outcomes.written(job_id)
-        state.job_written(written)
+        state.record_job_write(written)
         for task, worker_id in outcomes.worker_by_task.items():
             state.outboxes.acknowledge(worker_id, task)
         self._jobs().tell(JobsChanged((written,)))
@@ -95,7 +95,7 @@
         except MarjoramgradeError:
             self._metrics.retried("move_table_error")
             return
-        state.job_moved(written)
+        state.remove_moved_job(written)
         self._jobs().tell(JobsChanged((written,)))
 
     async def _write_move(self, write: WriteJob) -> StoredJob:
@@ -118,7 +118,7 @@
                 await asyncio.sleep(RESOLVE_INTERVAL_MS / 1000)
                 continue
             if stored is not None and stored.job.shard != self._shard:
-                state.job_moved(stored)
+                state.remove_moved_job(stored)
             if stored is not None:
                 self._jobs().tell(JobsChanged((stored,)))
             return
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -177,7 +177,7 @@
         self._drain = ZoneDrain(self._state)
         self._state.set_config(self._config)
         for stored in self._early_jobs:
-            self._state.job_changed(stored, self._clock.now_ms())
+            self._state.apply_job(stored, self._clock.now_ms())
         self._early_jobs.clear()
         state_change("shard_loaded", shard=self._shard, jobs=len(message.jobs))
         await self._sync_workers(self._state)
@@ -194,7 +194,7 @@
             self._early_jobs.extend(s for s in message.jobs if self._is_home_of(s))
             return
         for stored in message.jobs:
-            self._state.job_changed(stored, self._clock.now_ms())
+            self._state.apply_job(stored, self._clock.now_ms())
 
     @handles(GetTasks)
     async def _get_tasks(self, message: GetTasks) -> tuple[TaskStatus, ...]:
@@ -209,7 +209,7 @@
         worker = self._worker_by_id.get(message.worker_id)
         if self._state is None or worker is None or message.epoch != self._epoch:
             return
-        self._state.worker_connected(message, worker, self._clock.now_ms())
+        self._state.reconcile_worker(message, worker, self._clock.now_ms())
         self._send_batches(self._state)
 
     @handles(WorkerDisconnected)
@@ -230,7 +230,7 @@
         state.sessions.record_grant(message.worker_id, now_ms)
         worker = self._worker_by_id.get(message.worker_id)
         if worker is not None:
-            state.worker_ready(worker, now_ms)
+            state.add_listed_worker(worker, now_ms)
         grant = WorkerBatch(
             self._epoch, granted_seq=message.seq, lease_ms=WORKER_LEASE_MS
         )
@@ -247,7 +247,7 @@
     async def _worker_refused(self, message: WorkerRefused) -> None:
         self._metrics.retried(f"worker_refused_{message.reason}")
         if self._state is not None:
-            self._state.tasks_refused(message, self._clock.now_ms())
+            self._state.requeue_refused_tasks(message, self._clock.now_ms())
 
     # Acting
 
@@ -275,14 +275,14 @@
             if self._may_start():
                 state.start_tasks(now_ms)
             if state.grants.is_due(now_ms):
-                state.stop_excess()
+                state.stop_excess_tasks()
                 self.spawn(
                     state.grants.refresh(
-                        state.use_by_team(),
+                        state.usage_by_team(),
                         is_reconciled=state.reconciliation.is_complete(now_ms),
                     )
                 )
-            state.stop_tasks()
+            state.forward_stops()
             self._send_batches(state)
             self._write_outcomes(state)
             if now_ms >= next_summary_ms:
@@ -376,14 +376,14 @@
         now_ms = self._clock.now_ms()
         for worker_id, worker in self._worker_by_id.items():
             if worker.leaving:
-                state.worker_leaving(worker_id, now_ms)
+                state.drain_worker(worker_id, now_ms)
             if worker_id not in self._link_by_id:
                 link = self._make_link(self._shard, self._epoch, worker, self)
                 link.on_fatal = self.on_fatal
                 self._link_by_id[worker_id] = link
                 await link.start()
         for gone in set(self._link_by_id) - set(self._worker_by_id):
-            state.worker_leaving(gone, now_ms)
+            state.drain_worker(gone, now_ms)
 
     async def _close_links(self) -> None:
         links, self._link_by_id = self._link_by_id, {}
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -117,7 +117,7 @@
             retry_by_kind=retry_by_kind,
         )
         for stored in jobs:
-            tasks.job_changed(stored, now_ms)
+            tasks.apply_job(stored, now_ms)
         return tasks
 
     # Jobs
@@ -127,19 +127,19 @@
         self.scheduler.set_teams(config.teams_by_name.values())
         self.grants.set_config(config)
 
-    def use_by_team(self) -> dict[str, Resources]:
+    def usage_by_team(self) -> dict[str, Resources]:
         """Return what each team with running tasks uses."""
         shares = self.scheduler.shares
         return {team: shares.usage_of(team) for team in self.scheduler.running.teams()}
 
-    def stop_excess(self) -> None:
+    def stop_excess_tasks(self) -> None:
         """Stop the newest tasks of teams that are above a lowered limit."""
-        for team, in_use in self.use_by_team().items():
+        for team, in_use in self.usage_by_team().items():
             excess = self.grants.excess(team, in_use)
             for task in choose_excess_tasks(self.scheduler.running, team, excess):
                 self.scheduler.stop(task, ABOVE_LIMIT, is_requeued=True)
 
-    def job_changed(self, stored: StoredJob, now_ms: int) -> None:
+    def apply_job(self, stored: StoredJob, now_ms: int) -> None:
         """Take over a newer version of a job row."""
         job = stored.job
         known = self.job_by_id.get(job.job_id)
@@ -147,7 +147,7 @@
             return
         if job.shard != self.shard:
             if known:
-                self.job_moved(stored)
+                self.remove_moved_job(stored)
             return
         if job.state is not JobState.OPEN:
             self._forget(job)
@@ -159,7 +159,7 @@
         if job.cancelled and (known is None or not known.job.cancelled):
             self._cancel(job)
 
-    def job_written(self, stored: StoredJob) -> None:
+    def record_job_write(self, stored: StoredJob) -> None:
         """Note the version that an own write gave a job."""
         if stored.job.state is JobState.OPEN:
             self.job_by_id[stored.job.job_id] = stored
@@ -202,7 +202,7 @@
         for index in range(job.spec.tasks):
             self._attempt_by_task.pop(TaskId(job.job_id, index), None)
 
-    def job_moved(self, stored: StoredJob) -> None:
+    def remove_moved_job(self, stored: StoredJob) -> None:
         """Drop a job that another shard now owns."""
         self.scheduler.cancel_job(stored.job.job_id)
         self._forget(stored.job)
@@ -223,13 +223,13 @@
         }
         return frozenset(worker_by_id) | frozenset(busy)
 
-    def worker_connected(
+    def reconcile_worker(
         self, message: WorkerConnected, worker: Instance, now_ms: int
     ) -> None:
         """Compare a worker's inventory with what should run there."""
         worker_id = message.worker_id
         self.sessions.mark_connected(worker_id, now_ms)
-        self.worker_ready(worker, now_ms)
+        self.add_listed_worker(worker, now_ms)
         for end in message.ends:
             self.task_ended(worker_id, end, now_ms)
         # What was decided while there was no connection is decided again; sent
@@ -244,7 +244,7 @@
             self._adopt(worker_id, run, now_ms)
         self.reconciliation.confirm(worker_id)
 
-    def worker_ready(self, worker: Instance, now_ms: int) -> None:
+    def add_listed_worker(self, worker: Instance, now_ms: int) -> None:
         """Take a connected worker into the pool if it is on the roster."""
         worker_id = worker.instance_id
         if worker_id not in self.roster.worker_ids:
@@ -255,7 +255,7 @@
         if worker.leaving:
             self.scheduler.drain_worker(worker_id, now_ms)
 
-    def worker_leaving(self, worker_id: str, now_ms: int) -> None:
+    def drain_worker(self, worker_id: str, now_ms: int) -> None:
         """Start nothing more on a worker."""
         if worker_id in self.scheduler.pool:
             self.scheduler.drain_worker(worker_id, now_ms)
@@ -295,7 +295,7 @@
             else:
                 self.outboxes.stop(decision.worker_id, decision.task)
 
-    def stop_tasks(self) -> None:
+    def forward_stops(self) -> None:
         """Send the stops that are due; a stop needs no authority to start."""
         for stop in self.scheduler.pop_stops():
             self.outboxes.stop(stop.worker_id, stop.task)
@@ -318,7 +318,7 @@
         if self._worker_of(end.task) == worker_id:
             self._end(end.task, ending, now_ms)
 
-    def tasks_refused(self, message: WorkerRefused, now_ms: int) -> None:
+    def requeue_refused_tasks(self, message: WorkerRefused, now_ms: int) -> None:
         """Queue tasks again that a worker did not start."""
         for task in message.tasks:
             if self._worker_of(task) == message.worker_id:
