--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -44,11 +44,11 @@
 from marjoramgrade.settings import Policies
 from marjoramgrade.store import StoredRoster
 
-START_BUDGET = 500
+MAX_STARTS_PER_TICK = 500
 
-ABOVE_LIMIT = "team above its lowered limit"
+ABOVE_LIMIT_REASON = "team above its lowered limit"
 
-ENDING_BY_OUTCOME = {
+END_STATUS_BY_OUTCOME = {
     "done": EndStatus.DONE,
     "failed": EndStatus.FAILED,
     "stopped": EndStatus.STOPPED,
@@ -137,7 +137,7 @@
         for team, in_use in self.usage_by_team().items():
             excess = self.grants.excess(team, in_use)
             for task in choose_excess_tasks(self.scheduler.running, team, excess):
-                self.scheduler.stop(task, ABOVE_LIMIT, is_requeued=True)
+                self.scheduler.stop(task, ABOVE_LIMIT_REASON, is_requeued=True)
 
     def apply_job(self, stored: StoredJob, now_ms: int) -> None:
         """Take over a newer version of a job row."""
@@ -289,7 +289,7 @@
         """Decide what starts and stops, once every earlier start is accounted for."""
         if not self.reconciliation.is_complete(now_ms):
             return
-        for decision in self.scheduler.step(now_ms, START_BUDGET):
+        for decision in self.scheduler.step(now_ms, MAX_STARTS_PER_TICK):
             if isinstance(decision, StartTask):
                 self.outboxes.start(decision.worker_id, self._start_of(decision))
             else:
@@ -307,7 +307,7 @@
             # The row shows the end already, or the job was moved after its end.
             self.outboxes.acknowledge(worker_id, end.task)
             return
-        ending = ENDING_BY_OUTCOME.get(end.outcome, EndStatus.FAILED)
+        ending = END_STATUS_BY_OUTCOME.get(end.outcome, EndStatus.FAILED)
         if ending is EndStatus.DONE:
             self.outcomes.record(end.task, Outcome.DONE, worker_id)
             self._stop_elsewhere(end.task, worker_id)
--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -12,7 +12,7 @@
 # Batch tasks may end by themselves this long after their zone was taken out.
 DRAIN_MS = 10_000
 MAX_MOVES_AT_ONCE = 100
-ZONE_OUT = "zone taken out"
+ZONE_OUT_REASON = "zone taken out"
 
 
 @attrs.define
@@ -77,4 +77,4 @@
         scheduler = self.tasks.scheduler
         for running in scheduler.running.tasks_of_job(job_id):
             if scheduler.running.stop_request_of(running.task) is None:
-                scheduler.stop(running.task, ZONE_OUT, is_requeued=True)
+                scheduler.stop(running.task, ZONE_OUT_REASON, is_requeued=True)
