--- a/marjoramgrade/controllers/outboxes.py
+++ b/marjoramgrade/controllers/outboxes.py
@@ -36,11 +36,13 @@
         """Add an end that the worker may forget."""
         self._find(worker_id).acks.append(task)
 
-    def drop_starts(self, worker_id: str) -> None:
+    def discard_unsent_starts(self, worker_id: str) -> None:
         """Drop the starts that were not sent before the connection broke."""
         self._find(worker_id).starts.clear()
 
-    def take(self, epoch: int, sessions: WorkerSessions) -> dict[str, WorkerBatch]:
+    def pop_batches(
+        self, epoch: int, sessions: WorkerSessions
+    ) -> dict[str, WorkerBatch]:
         """Remove and return the batches of connected workers."""
         batch_by_worker = {}
         for worker_id in list(self._outbox_by_worker):
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -297,7 +297,7 @@
         """Send what the state decided; the authority is checked just before."""
         if not self._is_owner():
             return
-        batches = state.outboxes.take(self._epoch, state.sessions)
+        batches = state.outboxes.pop_batches(self._epoch, state.sessions)
         for worker_id, batch in batches.items():
             self._send(worker_id, batch)
 
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -234,7 +234,7 @@
             self.task_ended(worker_id, end, now_ms)
         # What was decided while there was no connection is decided again; sent
         # now, it would run beside the task that is queued again below.
-        self.outboxes.drop_starts(worker_id)
+        self.outboxes.discard_unsent_starts(worker_id)
         reported = {run.task for run in message.running}
         for running in self.scheduler.running.tasks_of_worker(worker_id):
             if running.task not in reported:
