--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -321,7 +321,7 @@
         if not is_known or self._config.is_zone_in(zone):
             drain.end()
             return
-        drain.advance(now_ms)
+        drain.stop_due_tasks(now_ms)
         for stored in drain.begin_moves(now_ms):
             self.spawn(self._move_job(drain, stored))
 
@@ -329,7 +329,7 @@
         try:
             await self._writer.move(drain.tasks, stored)
         finally:
-            drain.move_ended(stored.job.job_id, self._clock.now_ms())
+            drain.record_move_end(stored.job.job_id, self._clock.now_ms())
 
     def _keep_roster(self, state: ShardTasks) -> None:
         wanted = state.wanted_roster(self._worker_by_id)
--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -10,8 +10,8 @@
 from marjoramgrade.model import Kind
 
 # Batch tasks may end by themselves this long after their zone was taken out.
-DRAIN_MS = 10_000
-MAX_MOVES_AT_ONCE = 100
+DRAIN_GRACE_MS = 10_000
+MAX_CONCURRENT_MOVES = 100
 ZONE_OUT_REASON = "zone taken out"
 
 
@@ -27,11 +27,11 @@
     _since_ms: int | None = None
     _moving: set[str] = attrs.field(factory=set)
 
-    def advance(self, now_ms: int) -> None:
+    def stop_due_tasks(self, now_ms: int) -> None:
         """Stop services at once and batch tasks after a grace period."""
         if self._since_ms is None:
             self._since_ms = now_ms
-        is_over = now_ms >= self._since_ms + DRAIN_MS
+        is_over = now_ms >= self._since_ms + DRAIN_GRACE_MS
         for job_id, stored in self.tasks.job_by_id.items():
             if stored.job.spec.kind is Kind.SERVICE or is_over:
                 self._stop_job(job_id)
@@ -46,7 +46,7 @@
         if not self.tasks.reconciliation.is_complete(now_ms):
             return movable
         for job_id, stored in self.tasks.job_by_id.items():
-            if len(self._moving) >= MAX_MOVES_AT_ONCE:
+            if len(self._moving) >= MAX_CONCURRENT_MOVES:
                 break
             if self._is_movable(stored):
                 self._moving.add(job_id)
@@ -54,7 +54,7 @@
                 movable.append(stored)
         return movable
 
-    def move_ended(self, job_id: str, now_ms: int) -> None:
+    def record_move_end(self, job_id: str, now_ms: int) -> None:
         """Note that an attempt to move a job is over; queue it if it stays."""
         self._moving.discard(job_id)
         stored = self.tasks.job_by_id.get(job_id)
