--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -52,8 +52,8 @@
 from marjoramgrade.table import ABSENT
 
 READ_INTERVAL_MS = 500
-CANCEL_ATTEMPTS = 5
-FORGET_INTERVAL_MS = 10_000
+MAX_CANCEL_ATTEMPTS = 5
+EVICTION_INTERVAL_MS = 10_000
 
 
 class JobsController(Actor):
@@ -183,7 +183,7 @@
         check_job(spec, team, self._workers_by_shard)
 
     async def _mark_cancelled(self, job_id: str) -> StoredJob:
-        for _ in range(CANCEL_ATTEMPTS):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             stored = await self._read(job_id)
             if stored.job.cancelled or stored.job.state is not JobState.OPEN:
                 return stored
@@ -274,7 +274,7 @@
     async def _forget_forever(self) -> None:
         """Drop ended jobs from memory, and their rows after the retention."""
         while True:
-            await asyncio.sleep(FORGET_INTERVAL_MS / 1000)
+            await asyncio.sleep(EVICTION_INTERVAL_MS / 1000)
             now_ms = self._clock.now_ms()
             for job_id in self._ended.pop_evictable(now_ms):
                 self._job_by_id.pop(job_id, None)
