--- a/marjoramgrade/composition.py
+++ b/marjoramgrade/composition.py
@@ -20,9 +20,9 @@
 from marjoramgrade.controllers.inbound import InboundController
 from marjoramgrade.controllers.instances import InstancesController
 from marjoramgrade.controllers.jobs import JobsController
-from marjoramgrade.controllers.journal import JournalController
 from marjoramgrade.controllers.members import MembersController
 from marjoramgrade.controllers.ownership import OwnershipController
+from marjoramgrade.controllers.recordwriter import RecordWriterController
 from marjoramgrade.controllers.routes import RoutesController
 from marjoramgrade.controllers.shard import ShardController
 from marjoramgrade.controllers.watch import WatchController
@@ -50,7 +50,7 @@
     """The controllers of an entry instance."""
 
     authority: AuthorityController
-    journal: JournalController
+    record_writer: RecordWriterController
     watch: WatchController
     routes: RoutesController
     dispatcher_by_shard: dict[str, Actor]
@@ -68,7 +68,7 @@
         Each is started after those that it tells or asks, so that the reverse
         order of the stop leaves nobody who tells a stopped one.
         """
-        yield from (self.authority, self.journal, self.watch, self.routes)
+        yield from (self.authority, self.record_writer, self.watch, self.routes)
         yield from self.dispatcher_by_shard.values()
         yield from self.scheduler_by_shard.values()
         yield from (self.jobs, self.config, self.instances, self.inbound)
@@ -106,23 +106,23 @@
             settings.instance_id, settings.zone, settings.host, settings.peer_port
         )
         authority = AuthorityController(own, self.clock, self.metrics)
-        journal, watch = JournalController(store), WatchController()
+        record_writer, watch = RecordWriterController(store), WatchController()
         routes = RoutesController(
             settings.instance_id, settings.zone, self.clock, self.metrics
         )
         dispatchers: dict[str, Actor] = {
-            shard: self._make_dispatcher(shard, store, journal, routes)
+            shard: self._make_dispatcher(shard, store, record_writer, routes)
             for shard in self.shards
         }
         schedulers: dict[str, Actor] = {
-            shard: self._make_scheduler(shard, store, journal, routes)
+            shard: self._make_scheduler(shard, store, record_writer, routes)
             for shard in self.shards
         }
         by_shard = (*dispatchers.values(), *schedulers.values())
         ownership = self._make_ownership(store, authority, by_shard)
         members = self._make_members(own, store, authority, (ownership, routes))
         jobs = self._make_jobs(
-            store, journal, routes, members, (watch, *schedulers.values())
+            store, record_writer, routes, members, (watch, *schedulers.values())
         )
         self._jobs.append(jobs)
         config = ConfigController(
@@ -143,7 +143,7 @@
         authority.connect(peers=members, config=config, ownership=ownership)
         return Parts(
             authority,
-            journal,
+            record_writer,
             watch,
             routes,
             dispatchers,
@@ -157,14 +157,14 @@
         )
 
     def _make_dispatcher(
-        self, shard: str, store: Store, journal: Actor, routes: Actor
+        self, shard: str, store: Store, record_writer: Actor, routes: Actor
     ) -> DispatchController:
         return DispatchController(
             shard,
             self.settings.instance_id,
             self._membership_of(shard),
             self.backends,
-            journal,
+            record_writer,
             store,
             self.clock,
             self.metrics,
@@ -173,7 +173,7 @@
         )
 
     def _make_scheduler(
-        self, shard: str, store: Store, journal: Actor, routes: Actor
+        self, shard: str, store: Store, record_writer: Actor, routes: Actor
     ) -> ShardController:
         return ShardController(
             shard,
@@ -181,7 +181,7 @@
             self._membership_of(shard),
             self.settings.policies_by_kind,
             store,
-            journal,
+            record_writer,
             WorkerLink,
             self.clock,
             self.metrics,
@@ -224,7 +224,7 @@
     def _make_jobs(
         self,
         store: Store,
-        journal: Actor,
+        record_writer: Actor,
         routes: Actor,
         members: Actor,
         subscribers: tuple[Actor, ...],
@@ -232,7 +232,7 @@
         settings = self.settings
         return JobsController(
             store,
-            journal,
+            record_writer,
             lambda instance: shard_of(instance, settings.shards_per_zone),
             routes,
             members,
--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -77,7 +77,7 @@
         instance_id: This instance.
         is_member: Whether an instance of the platform's list is in the shard.
         backends: Reaches the backend servers.
-        journal: Records the ids of non-idempotent requests.
+        record_writer: Records the ids of non-idempotent requests.
         store: Typed access to the table.
         clock: Monotonic time.
         metrics: Counters.
@@ -91,7 +91,7 @@
         instance_id: str,
         is_member: Callable[[Instance], bool],
         backends: Backends,
-        journal: Actor,
+        record_writer: Actor,
         store: Store,
         clock: Clock,
         metrics: Metrics,
@@ -104,7 +104,7 @@
         self._instance_id = instance_id
         self._is_member = is_member
         self._backends = backends
-        self._journal = journal
+        self._record_writer = record_writer
         self._store = store
         self._clock = clock
         self._metrics = metrics
@@ -302,7 +302,9 @@
             LedgerUnavailableError: If it cannot be recorded now.
         """
         try:
-            await self._journal.ask(RecordRequest(request.team, request.request_id))
+            await self._record_writer.ask(
+                RecordRequest(request.team, request.request_id)
+            )
         except TableError as error:
             raise LedgerUnavailableError(error.message) from error
 
--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -61,7 +61,7 @@
 
     Args:
         store: Typed access to the table.
-        journal: Writes job rows.
+        record_writer: Writes job rows.
         shard_of: Returns the shard that a worker belongs to.
         routes: Chooses the home shard of a new job.
         peers: Reaches the other entry instances.
@@ -75,7 +75,7 @@
     def __init__(
         self,
         store: Store,
-        journal: Actor,
+        record_writer: Actor,
         shard_of: Callable[[Instance], str],
         routes: Actor,
         peers: Actor,
@@ -87,7 +87,7 @@
     ) -> None:
         super().__init__()
         self._store = store
-        self._journal = journal
+        self._record_writer = record_writer
         self._shard_of = shard_of
         self._config = Config()
         self._workers_by_shard: dict[str, list[WorkerNode]] = {}
@@ -164,7 +164,7 @@
         shard = await self._routes.ask(ChooseShard(message.spec))
         job = Job.from_spec(message.job_id, message.spec, shard)
         try:
-            stored = await self._journal.ask(WriteJob(job, ABSENT))
+            stored = await self._record_writer.ask(WriteJob(job, ABSENT))
         except CheckFailedError:
             return _same_or_conflict(await self._read(message.job_id), message)
         except TableUnavailableError as error:
@@ -189,7 +189,7 @@
                 return stored
             job = attrs.evolve(stored.job, cancelled=True, reason="cancel requested")
             try:
-                written = await self._journal.ask(WriteJob(job, stored.version))
+                written = await self._record_writer.ask(WriteJob(job, stored.version))
             except CheckFailedError:
                 self._metrics.retried("cancel_conflict")
                 continue
--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -29,7 +29,7 @@
     Args:
         shard: Name of the shard.
         store: Reads a row again after a conflict.
-        journal: Writes job rows.
+        record_writer: Writes job rows.
         routes: Chooses the shard that a job moves to.
         jobs: Returns the actor that is told of written rows.
         metrics: Counters.
@@ -39,14 +39,14 @@
         self,
         shard: str,
         store: Store,
-        journal: Actor,
+        record_writer: Actor,
         routes: Actor,
         jobs: Callable[[], Actor],
         metrics: Metrics,
     ) -> None:
         self._shard = shard
         self._store = store
-        self._journal = journal
+        self._record_writer = record_writer
         self._routes = routes
         self._jobs = jobs
         self._metrics = metrics
@@ -59,7 +59,7 @@
         try:
             written = stored
             if merged != stored.job:
-                written = await self._journal.ask(
+                written = await self._record_writer.ask(
                     WriteJob(merged, stored.version, state.fence)
                 )
         except CheckFailedError:
@@ -102,7 +102,7 @@
         """Write until the outcome is known; until then the job may not start."""
         while True:
             try:
-                written: StoredJob = await self._journal.ask(write)
+                written: StoredJob = await self._record_writer.ask(write)
                 return written
             except WriteOutcomeUnknownError:
                 self._metrics.retried("move_outcome_unknown")
--- a/marjoramgrade/controllers/journal.py
+++ b/marjoramgrade/controllers/recordwriter.py
@@ -23,10 +23,10 @@
 )
 
 # The first record of a transaction waits this long for others.
-COLLECT_MS = 20
+BATCH_WINDOW_MS = 20
 # At 22 entry instances this keeps all writes under 220 transactions a second.
-MIN_INTERVAL_MS = 100
-MAX_ROWS = 500
+MIN_WRITE_INTERVAL_MS = 100
+MAX_ROWS_PER_TRANSACTION = 500
 
 
 @attrs.define
@@ -60,7 +60,7 @@
             self.done.set_exception(error)
 
 
-class JournalController(Actor):
+class RecordWriterController(Actor):
     """Owns the records that wait to be written.
 
     At most one transaction is in flight. A record whose check fails is refused
@@ -108,12 +108,12 @@
             await self._has_work.wait()
             if self._closing and not self._waiting:
                 return
-            await asyncio.sleep(COLLECT_MS / 1000)
+            await asyncio.sleep(BATCH_WINDOW_MS / 1000)
             batch = self._take_batch()
             if batch:
                 await self._write(batch)
             if self._waiting:
-                await asyncio.sleep((MIN_INTERVAL_MS - COLLECT_MS) / 1000)
+                await asyncio.sleep((MIN_WRITE_INTERVAL_MS - BATCH_WINDOW_MS) / 1000)
             elif not self._closing:
                 self._has_work.clear()
 
@@ -123,7 +123,7 @@
         later: list[_Pending] = []
         keys: set[str] = set()
         for pending in self._waiting:
-            if len(batch) < MAX_ROWS and pending.key not in keys:
+            if len(batch) < MAX_ROWS_PER_TRANSACTION and pending.key not in keys:
                 keys.add(pending.key)
                 batch.append(pending)
             else:
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -74,7 +74,7 @@
         is_member: Whether an instance of the platform's list is in the shard.
         policies_by_kind: Names of the policies of each kind of work.
         store: Typed access to the table.
-        journal: Writes job rows.
+        record_writer: Writes job rows.
         make_link: Makes the actor that owns the connection to a worker.
         clock: Monotonic time.
         metrics: Counters.
@@ -89,7 +89,7 @@
         is_member: Callable[[Instance], bool],
         policies_by_kind: Mapping[Kind, Policies],
         store: Store,
-        journal: Actor,
+        record_writer: Actor,
         make_link: MakeLink,
         clock: Clock,
         metrics: Metrics,
@@ -106,7 +106,7 @@
         self._clock = clock
         self._metrics = metrics
         self._routes = routes
-        self._writer = JobWriter(shard, store, journal, routes, jobs, metrics)
+        self._writer = JobWriter(shard, store, record_writer, routes, jobs, metrics)
         self._epoch = 0
         self._until_ms = 0
         self._fence = ShardFence(shard, 0)
