--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -11,7 +11,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.controllers.grantkeeper import GrantKeeper
+from marjoramgrade.controllers.grantmanager import GrantManager
 from marjoramgrade.decisions.requestqueue import RequestQueue
 from marjoramgrade.decisions.slots import SlotPool
 from marjoramgrade.errors import (
@@ -184,8 +184,8 @@
         while self._sending:
             await asyncio.wait(self._sending)
 
-    def _make_grants(self, epoch: int) -> GrantKeeper:
-        grants = GrantKeeper(
+    def _make_grants(self, epoch: int) -> GrantManager:
+        grants = GrantManager(
             f"{self._shard}:requests", epoch, self._store, self._clock, self._metrics
         )
         grants.set_config(self._config)
--- a/marjoramgrade/controllers/grantkeeper.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -27,13 +27,13 @@
 
 # One transaction a second for each holder, and sooner when work waits for grant.
 REFRESH_INTERVAL_MS = 1_000
-WANT_INTERVAL_MS = 200
+UNMET_DEMAND_INTERVAL_MS = 200
 # Unused grant returns to the pool after this time, where other shards find it.
-IDLE_MS = 2_000
+UNUSED_GRANT_TIMEOUT_MS = 2_000
 # A team that is refused at each refresh asks for twice as much as before, up to
 # this many times one refusal. Asking for one task a transaction starts 5 tasks/s;
 # what is taken too much returns after IDLE_MS.
-MAX_STEP = 64
+MAX_DEMAND_MULTIPLIER = 64
 
 
 @attrs.define
@@ -50,16 +50,16 @@
     step: int = 1
     idle_since_ms: int | None = None
 
-    def take_wanted(self) -> Resources:
+    def pop_wanted_amount(self) -> Resources:
         """Return what to ask for now; the next refusal asks for more."""
         asked = self.wanted.scaled(self.step, 1)
         is_refused = self.wanted != NOTHING
-        self.step = min(2 * self.step, MAX_STEP) if is_refused else 1
+        self.step = min(2 * self.step, MAX_DEMAND_MULTIPLIER) if is_refused else 1
         self.wanted = NOTHING
         return asked
 
 
-class GrantKeeper:
+class GrantManager:
     """The grants of one holder under one epoch.
 
     Args:
@@ -124,7 +124,7 @@
             return False
         if any(d.wanted != NOTHING for d in self._demand_by_team.values()):
             return now_ms >= self._next_refresh_ms - REFRESH_INTERVAL_MS + (
-                WANT_INTERVAL_MS
+                UNMET_DEMAND_INTERVAL_MS
             )
         return now_ms >= self._next_refresh_ms
 
@@ -182,7 +182,7 @@
         name = team.name
         row = self._book.row(name)
         demand = self._demand_by_team.setdefault(name, _Demand())
-        wanted = demand.take_wanted()
+        wanted = demand.pop_wanted_amount()
         if row is None:
             return GrantsRow(name, team.limit) if team.limit != NOTHING else None
         if self._book.is_pending(name):
@@ -220,7 +220,7 @@
             return None
         if demand.idle_since_ms is None:
             demand.idle_since_ms = now_ms
-        if now_ms < demand.idle_since_ms + IDLE_MS:
+        if now_ms < demand.idle_since_ms + UNUSED_GRANT_TIMEOUT_MS:
             return None
         demand.idle_since_ms = None
         return self._book.begin_return(name, self._book.headroom(name))
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -9,7 +9,7 @@
 
 from marjoramgrade.actor import Actor, Message, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.controllers.grantkeeper import GrantKeeper
+from marjoramgrade.controllers.grantmanager import GrantManager
 from marjoramgrade.controllers.jobwriter import JobWriter
 from marjoramgrade.controllers.shardtasks import ShardTasks
 from marjoramgrade.controllers.zonedrain import ZoneDrain
@@ -167,7 +167,7 @@
         self._state = ShardTasks.from_rows(
             self._fence,
             self._policies_by_kind,
-            GrantKeeper(
+            GrantManager(
                 self._shard, message.epoch, self._store, self._clock, self._metrics
             ),
             message.roster,
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramgrade.controllers.grantkeeper import GrantKeeper
+from marjoramgrade.controllers.grantmanager import GrantManager
 from marjoramgrade.controllers.outboxes import Outboxes
 from marjoramgrade.decisions.actions import EndStatus, StartTask
 from marjoramgrade.decisions.excess import choose_excess_tasks
@@ -75,7 +75,7 @@
     shard: str
     fence: ShardFence
     scheduler: Scheduler
-    grants: GrantKeeper
+    grants: GrantManager
     reconciliation: Reconciliation
     roster: StoredRoster
     job_by_id: dict[str, StoredJob] = attrs.field(factory=dict)
@@ -90,7 +90,7 @@
         cls,
         fence: ShardFence,
         policies_by_kind: Mapping[Kind, Policies],
-        grants: GrantKeeper,
+        grants: GrantManager,
         roster: StoredRoster,
         jobs: Iterable[StoredJob],
         now_ms: int,
--- a/tests/test_grantkeeper.py
+++ b/tests/test_grantmanager.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from marjoramgrade.clock import ManualClock
-from marjoramgrade.controllers.grantkeeper import GrantKeeper
+from marjoramgrade.controllers.grantmanager import GrantManager
 from marjoramgrade.errors import WriteOutcomeUnknownError
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.model import Config, Team
@@ -13,18 +13,18 @@
 ONE = Resources(cpu_millis=1)
 
 
-class SilentTable(MemoryTable):
+class UnresponsiveTable(MemoryTable):
     """Loses transactions before they take effect, and the reads that follow."""
 
-    is_silent = False
+    is_unresponsive = False
 
     async def commit(self, transaction: Transaction) -> int:
-        if self.is_silent:
+        if self.is_unresponsive:
             raise WriteOutcomeUnknownError("no answer")
         return await super().commit(transaction)
 
     async def changes(self, prefix: str, after: int = 0) -> RowsPage:
-        if self.is_silent:
+        if self.is_unresponsive:
             raise WriteOutcomeUnknownError("no answer")
         return await super().changes(prefix, after)
 
@@ -40,20 +40,20 @@
         limit: Resources = LIMIT,
     ) -> None:
         self.clock = ManualClock()
-        self.keeper = GrantKeeper(
+        self.manager = GrantManager(
             name, epoch, Store(table), self.clock, MemoryMetrics()
         )
-        self.keeper.set_config(Config(1, {"acme": Team("acme", limit=limit)}))
+        self.manager.set_config(Config(1, {"acme": Team("acme", limit=limit)}))
         self.in_use = NOTHING
 
     def start_up_to(self, count: int) -> None:
         for _ in range(count):
-            if self.keeper.may_use("acme", ONE, self.in_use):
+            if self.manager.may_use("acme", ONE, self.in_use):
                 self.in_use = self.in_use + ONE
 
     async def refresh(self) -> None:
         self.clock.advance(1_000)
-        await self.keeper.refresh({"acme": self.in_use}, is_reconciled=True)
+        await self.manager.refresh({"acme": self.in_use}, is_reconciled=True)
 
 
 def test_holders_together_stay_within_the_limit() -> None:
@@ -144,14 +144,14 @@
     """Guards against a pending write that blocks a team for ever."""
 
     async def run() -> Resources:
-        table = SilentTable()
+        table = UnresponsiveTable()
         holder = Holder("a.0", table)
         await holder.refresh()
         await holder.refresh()
         holder.start_up_to(1)
-        table.is_silent = True
+        table.is_unresponsive = True
         await holder.refresh()
-        table.is_silent = False
+        table.is_unresponsive = False
         for _ in range(4):
             holder.start_up_to(1)
             await holder.refresh()
