--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -172,7 +172,7 @@
         try:
             changed = await self._rebase_and_write(message, write_id)
         except WriteOutcomeUnknownError as error:
-            self.spawn(self._settle(write_id))
+            self.spawn(self._resolve_write(write_id))
             raise OutcomeUnknownError(error.message) from error
         except TableUnavailableError as error:
             self._authority.tell(EndWrite(write_id))
@@ -214,7 +214,7 @@
             current_version=stored.config.version,
         )
 
-    async def _settle(self, write_id: str) -> None:
+    async def _resolve_write(self, write_id: str) -> None:
         """Make sure that a write with an unknown outcome takes no effect later.
 
         Every transaction checks the version of the row, so any later version
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -38,7 +38,7 @@
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.store import Store
 
-WATCH_INTERVAL_MS = 500
+SHARD_POLL_INTERVAL_MS = 500
 
 
 @attrs.define
@@ -50,7 +50,7 @@
     watch: ObservedLease = attrs.field(factory=ObservedLease)
     lease: HeldLease | None = None
     fence_version: int = 0
-    unsettled_writes: list[str] = attrs.field(factory=list)
+    unresolved_writes: list[str] = attrs.field(factory=list)
 
 
 class OwnershipController(Actor):
@@ -126,7 +126,7 @@
                 self._metrics.retried("ownership_table_error")
             self._expire(state)
             interval_ms = (
-                WATCH_INTERVAL_MS if state.lease is None else RENEW_INTERVAL_MS
+                SHARD_POLL_INTERVAL_MS if state.lease is None else RENEW_INTERVAL_MS
             )
             await asyncio.sleep(interval_ms / 1000)
 
@@ -149,19 +149,19 @@
         except StaleAuthorityError:
             self._metrics.retried("takeover_without_authority")
             return
-        state.unsettled_writes.append(write_id)
+        state.unresolved_writes.append(write_id)
         asked_ms = self._clock.now_ms()
         row = state.row.taken_over_by(self._instance_id, self._guardians)
         try:
             state.version = await self._store.take_shard(row, state.version)
         except CheckFailedError:
             self._metrics.retried("takeover_lost_race")
-            self._settle_writes(state)
+            self._resolve_writes(state)
             return
         except TableUnavailableError:
-            self._settle_writes(state)
+            self._resolve_writes(state)
             raise
-        self._settle_writes(state)
+        self._resolve_writes(state)
         self._authority.tell(ShardHeld(row.shard, row.guardians, is_proposed=False))
         state.row = row
         state.fence_version = state.version
@@ -184,15 +184,15 @@
         lease.confirm(asked_ms)
         self._publish(row.shard, lease)
 
-    def _settle_writes(self, state: _ShardState) -> None:
+    def _resolve_writes(self, state: _ShardState) -> None:
         """Tell that no earlier takeover write can take effect any more.
 
         A definite answer to a later write settles earlier ones, which checked
         the same version of the row or an older one.
         """
-        for write_id in state.unsettled_writes:
+        for write_id in state.unresolved_writes:
             self._authority.tell(EndWrite(write_id))
-        state.unsettled_writes.clear()
+        state.unresolved_writes.clear()
 
     async def _resolve_conflict(self, state: _ShardState, lease: HeldLease) -> None:
         """Adopt an own renewal whose answer was lost, or accept the loss."""
