--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -53,7 +53,7 @@
 READ_TIMEOUT_MS = 2_000
 # Failures after which another shard may answer. A backend server that ran the
 # request and failed has answered.
-RETRYABLE = (
+RETRYABLE_ERRORS = (
     NoBackendError,
     NotOwnerError,
     OutcomeUnknownError,
@@ -62,7 +62,7 @@
     ShuttingDownError,
 )
 # Time kept back from the deadline for the reply's way to the caller.
-REPLY_RESERVE_MS = 5
+REPLY_MARGIN_MS = 5
 # An owner refuses a waiting request at its first tick (50 ms) after the deadline,
 # and later if its event loop lags. Its "not run" has to arrive before the deadline
 # filter gives up.
@@ -191,7 +191,7 @@
 
     async def _run_somewhere(self, request: RunRequest) -> RunReply:
         """Try shards until one answers or another attempt could run it twice."""
-        deadline_ms = self._clock.now_ms() + request.remaining_ms - REPLY_RESERVE_MS
+        deadline_ms = self._clock.now_ms() + request.remaining_ms - REPLY_MARGIN_MS
         tried: set[str] = set()
         attempts = 0
         self._budget.record_request()
@@ -221,7 +221,7 @@
         attempts: int,
         deadline_ms: int,
     ) -> RetryDecision:
-        if not isinstance(error, RETRYABLE):
+        if not isinstance(error, RETRYABLE_ERRORS):
             return RetryDecision(RetryVerdict.NOT_SAFE)
         attempt = Attempt(request.idempotent, error.ran, True, attempts, deadline_ms)
         return decide_retry(attempt, Backoff(), self._budget, self._clock.now_ms())
--- a/marjoramgrade/controllers/watch.py
+++ b/marjoramgrade/controllers/watch.py
@@ -21,7 +21,7 @@
 from marjoramgrade.messages.watches import WatchEvent
 
 # A watch that was interrupted can resume within this many changes.
-KEPT_EVENTS = 10_000
+MAX_RETAINED_EVENTS = 10_000
 # A watcher that falls behind further than this starts again from a reset.
 MAX_UNREAD_EVENTS = 1_000
 
@@ -102,7 +102,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._events: deque[WatchEvent] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[WatchEvent] = deque(maxlen=MAX_RETAINED_EVENTS)
         self._subscriptions: set[Subscription] = set()
         self._config_version = 0
         self._jobs_read_version = 0
@@ -172,7 +172,7 @@
             self._publish(event)
 
     def _publish(self, event: WatchEvent) -> None:
-        if len(self._events) == KEPT_EVENTS:
+        if len(self._events) == MAX_RETAINED_EVENTS:
             forgotten = self._events[0].version
             self._forgotten_version = max(self._forgotten_version, forgotten)
         self._events.append(event)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -18,7 +18,9 @@
     return ConfigConfirmed(Config(row_version), 0, row_version, read_version)
 
 
-async def seen(watch: WatchController, after: int | None) -> list[tuple[str, int]]:
+async def read_events(
+    watch: WatchController, after: int | None
+) -> list[tuple[str, int]]:
     """Return what a watch after a version shows at once."""
     subscription = await watch.ask(Subscribe(after))
     subscription.close()
@@ -35,16 +37,16 @@
             await actors.add(watch)
             for message in (config(1, 1), jobs(1), jobs(9, 7, 9)):
                 watch.tell(message)
-            before = await seen(watch, 0)
+            before = await read_events(watch, 0)
             assert before == [("config", 1)]
             watch.tell(config(10, 8))
-            assert await seen(watch, before[-1][1]) == [
+            assert await read_events(watch, before[-1][1]) == [
                 ("job", 7),
                 ("config", 8),
                 ("job", 9),
             ]
             # Without a start version, the watch begins where nothing comes late.
-            assert await seen(watch, None) == [("reset", 9)]
+            assert await read_events(watch, None) == [("reset", 9)]
 
     asyncio.run(run())
 
