--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -32,7 +32,11 @@
     RowWrite,
     StoredRow,
 )
-from marjoramgrade.messages.steps import LeadConfirmed, StepDown, StoreReachable
+from marjoramgrade.messages.steps import (
+    LeadershipConfirmed,
+    LeadershipEnded,
+    StoreReachable,
+)
 from marjoramgrade.metrics import Metrics
 
 # The store takes 100 entries in a transaction; each row has a check and a write.
@@ -245,7 +249,7 @@
         for row, write in write_by_row.items():
             self._version_by_row[row] = ABSENT if write.remove else answer.version
         self._waiting_since_ms = 0
-        self._tell(LeadConfirmed(self._epoch, asked_ms))
+        self._tell(LeadershipConfirmed(self._epoch, asked_ms))
         self._set_reachable(True)
 
     async def _watch_store(self) -> None:
@@ -276,7 +280,7 @@
     def _end(self, requests: list[_Request]) -> None:
         self._queue = [*requests, *self._queue]
         self._fail_all(NotOwnerError("another instance leads"))
-        self._tell(StepDown(self._epoch, "another instance leads"))
+        self._tell(LeadershipEnded(self._epoch, "another instance leads"))
 
     def _fail_all(self, error: MarjoramgradeError) -> None:
         for request in self._queue:
--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -33,7 +33,7 @@
     CountPending,
     GetStepJob,
     LeaderBeat,
-    LeaderKnown,
+    LeaderChanged,
     StepJobShown,
     SubmitStepJob,
 )
@@ -108,8 +108,8 @@
         self._leader_changed = asyncio.Event()
         self._served_ms = clock.now_ms()
 
-    @handles(LeaderKnown)
-    async def _leader_known(self, message: LeaderKnown) -> None:
+    @handles(LeaderChanged)
+    async def _leader_known(self, message: LeaderChanged) -> None:
         self._leader_id = message.leader_id
         self._leader_changed.set()
         self._leader_changed = asyncio.Event()
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -31,15 +31,15 @@
 from marjoramgrade.messages.steps import (
     CallUnanswered,
     ConfigurationChanged,
-    LeadConfirmed,
+    LeadershipAcquired,
+    LeadershipConfirmed,
+    LeadershipEnded,
     LinkAlert,
     LinkGrant,
-    RenewLead,
+    RenewLeadership,
     StartAnswered,
     StartOutcome,
-    StepDown,
     StoreReachable,
-    TakeLead,
     WatchWorkers,
     WorkerListed,
     WorkerSilent,
@@ -61,12 +61,12 @@
         """End the leadership, if there is one."""
         await self._end_lead("the instance stops")
 
-    @handles(TakeLead)
-    async def _take_lead(self, message: TakeLead) -> Any:
+    @handles(LeadershipAcquired)
+    async def _take_lead(self, message: LeadershipAcquired) -> Any:
         await self._end_lead("a newer leadership of this instance")
         return self.spawn(self._begin_lead(message))
 
-    async def _begin_lead(self, message: TakeLead) -> None:
+    async def _begin_lead(self, message: LeadershipAcquired) -> None:
         inheritance = await read_recovered_state(self._store)
         state = StepState(message.epoch, self._config, self._evacuated_zones)
         planner = Planner(state, AdvisorChannels(self._instance_id))
@@ -112,8 +112,8 @@
             queue = self._config.queue_by_name.get(job.queue, row.queue)
             lead.state.restore_job(job, queue, record, now_ms, unix_ms)
 
-    @handles(StepDown)
-    async def _step_down(self, message: StepDown) -> None:
+    @handles(LeadershipEnded)
+    async def _step_down(self, message: LeadershipEnded) -> None:
         if self._lead is not None and self._lead.epoch == message.epoch:
             await self._end_lead(message.reason)
             if self._leadership is not None:
@@ -132,8 +132,8 @@
         lead.link_by_worker.clear()
         self.spawn(lead.stack.aclose())
 
-    @handles(RenewLead)
-    async def _renew(self, message: RenewLead) -> None:
+    @handles(RenewLeadership)
+    async def _renew(self, message: RenewLeadership) -> None:
         lead = self._lead
         if lead is None or lead.epoch != message.epoch or lead.is_renewing:
             return
@@ -149,8 +149,8 @@
         finally:
             lead.is_renewing = False
 
-    @handles(LeadConfirmed)
-    async def _confirmed(self, message: LeadConfirmed) -> None:
+    @handles(LeadershipConfirmed)
+    async def _confirmed(self, message: LeadershipConfirmed) -> None:
         lead = self._lead
         if lead is None or lead.epoch != message.epoch:
             return
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -43,16 +43,16 @@
 )
 from marjoramgrade.messages.steps import (
     AskLeaderAge,
-    LeadConfirmed,
     LeaderAge,
     LeaderBeat,
-    LeaderKnown,
+    LeaderChanged,
     LeaderLeft,
-    LeaveLead,
-    RenewLead,
-    StepDown,
+    LeadershipAcquired,
+    LeadershipConfirmed,
+    LeadershipEnded,
+    ReleaseLeadership,
+    RenewLeadership,
     StoreContact,
-    TakeLead,
 )
 from marjoramgrade.steprows import (
     EPOCH_ROW,
@@ -207,18 +207,18 @@
         if message.relayed:
             self._relayed_since_ms = self._relayed_since_ms or now_ms
 
-    @handles(LeadConfirmed)
-    async def _confirmed(self, message: LeadConfirmed) -> None:
+    @handles(LeadershipConfirmed)
+    async def _confirmed(self, message: LeadershipConfirmed) -> None:
         if message.epoch == self._own_epoch:
             self._confirmed_ms = max(self._confirmed_ms, message.asked_ms)
 
-    @handles(StepDown)
-    async def _step_down(self, message: StepDown) -> None:
+    @handles(LeadershipEnded)
+    async def _step_down(self, message: LeadershipEnded) -> None:
         if message.epoch == self._own_epoch:
             self._lose(message.reason)
 
-    @handles(LeaveLead)
-    async def _leave(self, message: LeaveLead) -> Any:
+    @handles(ReleaseLeadership)
+    async def _leave(self, message: ReleaseLeadership) -> Any:
         self._leaving = True
         return self.spawn(self._release("the instance stops"))
 
@@ -228,7 +228,7 @@
         if not epoch:
             return
         self._lose(reason)
-        self._scheduler.tell(StepDown(epoch, reason))
+        self._scheduler.tell(LeadershipEnded(epoch, reason))
         row = serialize_row(LeaderRow(epoch, ""))
         try:
             await self._store.ask(
@@ -294,7 +294,7 @@
             self._renewed_ms = now_ms
             # The leader's writes leave one after the other, so that a slow store
             # is not flooded with renewals.
-            self._scheduler.tell(RenewLead(self._own_epoch))
+            self._scheduler.tell(RenewLeadership(self._own_epoch))
 
     async def _consider(self) -> None:
         """Take the lead if the leader is gone."""
@@ -436,7 +436,7 @@
         self._beat_ms = 0
         self._follow(self._watch.row)
         await self._lead()
-        await self._scheduler.ask(TakeLead(epoch, row_version))
+        await self._scheduler.ask(LeadershipAcquired(epoch, row_version))
 
     def _follow(self, row: LeaderRow) -> None:
         if row == self._leader:
@@ -444,9 +444,9 @@
         if self._own_epoch and row.epoch > self._own_epoch:
             epoch = self._own_epoch
             self._lose("another instance leads")
-            self._scheduler.tell(StepDown(epoch, "another instance leads"))
+            self._scheduler.tell(LeadershipEnded(epoch, "another instance leads"))
         self._leader = row
-        self._tell(LeaderKnown(row.leader_id, row.epoch))
+        self._tell(LeaderChanged(row.leader_id, row.epoch))
 
     def _lose(self, reason: str) -> None:
         logs.state_change("lead_lost", epoch=self._own_epoch, reason=reason)
@@ -454,7 +454,7 @@
         self._heard_ms = self._clock.now_ms()
         if self._leader.leader_id == self._instance_id:
             self._leader = LeaderRow(epoch, "")
-            self._tell(LeaderKnown("", epoch))
+            self._tell(LeaderChanged("", epoch))
 
     def _tell(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -8,7 +8,7 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.messages.steps import ConfigurationChanged, LeaderBeat, LeaderKnown
+from marjoramgrade.messages.steps import ConfigurationChanged, LeaderBeat, LeaderChanged
 
 POLL_MS = 200
 # An instance that has not heard a leader for this long sends its callers to others:
@@ -51,8 +51,8 @@
     async def _config_changed(self, message: ConfigurationChanged) -> None:
         self._has_config = True
 
-    @handles(LeaderKnown)
-    async def _leader_known(self, message: LeaderKnown) -> None:
+    @handles(LeaderChanged)
+    async def _leader_known(self, message: LeaderChanged) -> None:
         self._leader_id = message.leader_id
         self._heard_ms = self._confirmed_ms = self._clock.now_ms()
 
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -206,7 +206,7 @@
 
 
 @attrs.frozen
-class TakeLead(Message[None]):
+class LeadershipAcquired(Message[None]):
     """This instance leads from now on.
 
     Attributes:
@@ -219,19 +219,19 @@
 
 
 @attrs.frozen
-class LeaveLead(Message[None]):
+class ReleaseLeadership(Message[None]):
     """Asks to give the lead up for good; answered once the store has it or failed."""
 
 
 @attrs.frozen
-class RenewLead(Message[None]):
+class RenewLeadership(Message[None]):
     """Asks that the leader write that it still leads."""
 
     epoch: int
 
 
 @attrs.frozen
-class StepDown(Message[None]):
+class LeadershipEnded(Message[None]):
     """This instance leads no longer.
 
     Attributes:
@@ -244,7 +244,7 @@
 
 
 @attrs.frozen
-class LeadConfirmed(Message[None]):
+class LeadershipConfirmed(Message[None]):
     """The store has confirmed the leadership at a time on our clock."""
 
     epoch: int
@@ -272,7 +272,7 @@
 
 
 @attrs.frozen
-class LeaderKnown(Message[None]):
+class LeaderChanged(Message[None]):
     """Which instance leads; empty if none is known to."""
 
     leader_id: str
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -37,7 +37,7 @@
     QueueEnvironment,
 )
 from marjoramgrade.messages.peers import Member
-from marjoramgrade.messages.steps import LeaveLead
+from marjoramgrade.messages.steps import ReleaseLeadership
 from marjoramgrade.platform import configuration
 from marjoramgrade.platform.advice import AdviceClient
 from marjoramgrade.platform.front import ClientFront, ReadyFront
@@ -202,7 +202,7 @@
         if front is not None:
             front.is_leaving = True
         if self._leadership is not None:
-            await self._leadership.ask(LeaveLead())
+            await self._leadership.ask(ReleaseLeadership())
         shutdown_ms = int(self._settings.shutdown_s * 1_000) - SHUTDOWN_MARGIN_MS
         end_ms = self._clock.now_ms() + shutdown_ms
         idle_since_ms = self._clock.now_ms()
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -13,7 +13,11 @@
 from marjoramgrade.controllers.commits import CommitController, SaveRows
 from marjoramgrade.errors import NotOwnerError, TableRefusedError
 from marjoramgrade.messages.rows import CommitRows, RowCheck, RowId, RowWrite
-from marjoramgrade.messages.steps import LeadConfirmed, StepDown, StoreReachable
+from marjoramgrade.messages.steps import (
+    LeadershipConfirmed,
+    LeadershipEnded,
+    StoreReachable,
+)
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.steprows import EPOCH_ROW
 from tests.rowstore import MemoryRowStore
@@ -26,12 +30,12 @@
         super().__init__()
         self.received = []
 
-    @handles(LeadConfirmed)
-    async def _confirmed(self, message: LeadConfirmed) -> None:
+    @handles(LeadershipConfirmed)
+    async def _confirmed(self, message: LeadershipConfirmed) -> None:
         self.received.append(message)
 
-    @handles(StepDown)
-    async def _down(self, message: StepDown) -> None:
+    @handles(LeadershipEnded)
+    async def _down(self, message: LeadershipEnded) -> None:
         self.received.append(message)
 
     @handles(StoreReachable)
@@ -117,7 +121,7 @@
                 await controller.ask(save(b"x"))
             await asyncio.sleep(0.01)
             assert ROW not in store.rows
-            assert StepDown(1, "another instance leads") in listener.received
+            assert LeadershipEnded(1, "another instance leads") in listener.received
 
     asyncio.run(run())
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -25,7 +25,7 @@
 from marjoramgrade.messages.peers import CallPeer
 from marjoramgrade.messages.steps import (
     LeaderBeat,
-    LeaderKnown,
+    LeaderChanged,
     StepJobAccepted,
     SubmitStepJob,
 )
@@ -72,7 +72,7 @@
         for actor in (leader, store, forwarder):
             await actor.start()
             stack.push_async_callback(actor.stop)
-        forwarder.tell(LeaderKnown("other", 1))
+        forwarder.tell(LeaderChanged("other", 1))
         forwarder.tell(LeaderBeat(1, "other"))
         yield forwarder, leader, clock
 
@@ -146,8 +146,8 @@
             answer = asyncio.ensure_future(submit(forwarder, clock))
             await asyncio.sleep(0.05)
             assert not answer.done()
-            forwarder.tell(LeaderKnown("", 1))
-            forwarder.tell(LeaderKnown(successor, 2))
+            forwarder.tell(LeaderChanged("", 1))
+            forwarder.tell(LeaderChanged(successor, 2))
             async with asyncio.timeout(1):
                 assert (await answer).created
 
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -21,12 +21,12 @@
 from marjoramgrade.messages.steps import (
     LeaderAge,
     LeaderBeat,
-    LeaderKnown,
+    LeaderChanged,
     LeaderLeft,
-    RenewLead,
-    StepDown,
+    LeadershipAcquired,
+    LeadershipEnded,
+    RenewLeadership,
     StoreContact,
-    TakeLead,
 )
 from marjoramgrade.steprows import (
     EPOCH_ROW,
@@ -45,20 +45,20 @@
         self.heard = []
         self.alive = set()
 
-    @handles(TakeLead)
-    async def _take(self, message: TakeLead) -> None:
+    @handles(LeadershipAcquired)
+    async def _take(self, message: LeadershipAcquired) -> None:
         self.heard.append(message)
 
-    @handles(StepDown)
-    async def _down(self, message: StepDown) -> None:
+    @handles(LeadershipEnded)
+    async def _down(self, message: LeadershipEnded) -> None:
         self.heard.append(message)
 
-    @handles(RenewLead)
-    async def _renew(self, message: RenewLead) -> None:
+    @handles(RenewLeadership)
+    async def _renew(self, message: RenewLeadership) -> None:
         self.heard.append(message)
 
-    @handles(LeaderKnown)
-    async def _known(self, message: LeaderKnown) -> None:
+    @handles(LeaderChanged)
+    async def _known(self, message: LeaderChanged) -> None:
         self.heard.append(message)
 
     @handles(LeaderBeat)
@@ -113,7 +113,8 @@
 
 def took(recorder, epoch):
     return any(
-        isinstance(heard, TakeLead) and heard.epoch == epoch for heard in recorder.heard
+        isinstance(heard, LeadershipAcquired) and heard.epoch == epoch
+        for heard in recorder.heard
     )
 
 
@@ -335,7 +336,7 @@
             leadership.tell(MembersChanged(()))
             await until(lambda: took(recorder, 5))
             await asyncio.sleep(1.7)
-            assert not any(isinstance(m, StepDown) for m in recorder.heard)
+            assert not any(isinstance(m, LeadershipEnded) for m in recorder.heard)
 
     asyncio.run(run())
 
@@ -347,7 +348,9 @@
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
             leadership.tell(LeaderBeat(2, "b"))
-            await until(lambda: any(isinstance(m, StepDown) for m in recorder.heard))
+            await until(
+                lambda: any(isinstance(m, LeadershipEnded) for m in recorder.heard)
+            )
 
     asyncio.run(run())
 
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -29,9 +29,9 @@
     CancelStepJob,
     ConfigurationChanged,
     GetStepJob,
+    LeadershipAcquired,
     StepJobAccepted,
     SubmitStepJob,
-    TakeLead,
     WorkersListed,
 )
 from marjoramgrade.metrics import MemoryMetrics
@@ -138,7 +138,7 @@
         if config.version:
             scheduler.tell(ConfigurationChanged(config, frozenset()))
         version = store.apply(CommitRows((), (RowWrite(EPOCH_ROW, b"1"),))).version
-        await scheduler.ask(TakeLead(epoch, version))
+        await scheduler.ask(LeadershipAcquired(epoch, version))
         scheduler.tell(WorkersListed((worker("w"), worker("v"))))
         yield store, scheduler, ports
 
