--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -33,7 +33,7 @@
     OwnershipAttested,
     ShardDropped,
     ShardHeld,
-    TableContact,
+    TableReachability,
 )
 from marjoramgrade.metrics import Metrics
 
@@ -86,15 +86,15 @@
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
         self._config_version = message.config.version
 
-    @handles(TableContact)
-    async def _table_contact(self, message: TableContact) -> None:
+    @handles(TableReachability)
+    async def _table_contact(self, message: TableReachability) -> None:
         given = self._book.given
-        given.has_read_table |= message.is_reached
-        if given.is_table_reached == message.is_reached:
+        given.has_read_table |= message.is_reachable
+        if given.is_table_reached == message.is_reachable:
             return
-        given.is_table_reached = message.is_reached
-        state_change("table_contact", reached=message.is_reached)
-        if not message.is_reached:
+        given.is_table_reached = message.is_reachable
+        state_change("table_contact", reached=message.is_reachable)
+        if not message.is_reachable:
             self._round_due.set()
 
     @handles(MemberReplaced)
--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -35,7 +35,7 @@
 from marjoramgrade.messages.steps import (
     LeadershipConfirmed,
     LeadershipEnded,
-    StoreReachable,
+    StoreReachability,
 )
 from marjoramgrade.metrics import Metrics
 
@@ -275,7 +275,7 @@
             return
         self._reachable = reachable
         logs.state_change("store_reachable" if reachable else "store_unreachable")
-        self._tell(StoreReachable(reachable))
+        self._tell(StoreReachability(reachable))
 
     def _end(self, requests: list[_Request]) -> None:
         self._queue = [*requests, *self._queue]
--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -40,7 +40,7 @@
     BeginWrite,
     ConfigAttested,
     EndWrite,
-    TableContact,
+    TableReachability,
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config
@@ -124,9 +124,9 @@
             stored = await self._store.read_config()
         except MarjoramgradeError:
             self._metrics.retried("config_table_error")
-            self._authority.tell(TableContact(False))
+            self._authority.tell(TableReachability(False))
             return
-        self._authority.tell(TableContact(True))
+        self._authority.tell(TableReachability(True))
         if stored.config.version < self._versions.current.version:
             self._metrics.retried("config_stale_read")
             return
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -39,7 +39,7 @@
     RenewLeadership,
     StartAnswered,
     StartOutcome,
-    StoreReachable,
+    StoreReachability,
     WatchWorkers,
     WorkerListed,
     WorkerSilent,
@@ -163,8 +163,8 @@
             for link in lead.link_by_worker.values():
                 link.tell(LinkGrant(until_ms))
 
-    @handles(StoreReachable)
-    async def _store_changed(self, message: StoreReachable) -> None:
+    @handles(StoreReachability)
+    async def _store_changed(self, message: StoreReachability) -> None:
         if self._lead is not None:
             self._lead.reachable = message.reachable
 
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -52,7 +52,7 @@
     LeadershipEnded,
     ReleaseLeadership,
     RenewLeadership,
-    StoreContact,
+    StorePathStatus,
 )
 from marjoramgrade.steprows import (
     EPOCH_ROW,
@@ -197,8 +197,8 @@
     async def _leader_age(self, message: AskLeaderAge) -> LeaderAge:
         return LeaderAge(self._leader.epoch, self._clock.now_ms() - self._heard_ms)
 
-    @handles(StoreContact)
-    async def _store_contact(self, message: StoreContact) -> None:
+    @handles(StorePathStatus)
+    async def _store_contact(self, message: StorePathStatus) -> None:
         if message.direct:
             self._lost_direct_ms = self._relayed_since_ms = 0
             return
--- a/marjoramgrade/controllers/storerouter.py
+++ b/marjoramgrade/controllers/storerouter.py
@@ -21,7 +21,7 @@
 )
 from marjoramgrade.messages.peers import CallPeer, Member, MembersChanged
 from marjoramgrade.messages.rows import CommitRows, ReadRows, WatchRows
-from marjoramgrade.messages.steps import StoreContact
+from marjoramgrade.messages.steps import StorePathStatus
 from marjoramgrade.steprows import MEMBERS_TABLE
 
 # While the direct way fails, a read is sent aside at this interval without waiting for
@@ -187,10 +187,10 @@
                 continue
             except TableError:
                 # A check that failed, or lost history, is an answer of the store.
-                self._tell(StoreContact(self._is_direct, True))
+                self._tell(StorePathStatus(self._is_direct, True))
                 raise
             else:
-                self._tell(StoreContact(self._is_direct, True))
+                self._tell(StorePathStatus(self._is_direct, True))
                 return answer
             self._relay += 1
         raise failure
@@ -200,7 +200,7 @@
             return
         self._is_direct = False
         logs.state_change("store_lost", reason=reason)
-        self._tell(StoreContact(False, False))
+        self._tell(StorePathStatus(False, False))
         self.spawn(self._probe())
 
     async def _probe(self) -> None:
@@ -213,7 +213,7 @@
             return
         self._is_direct = True
         logs.state_change("store_regained")
-        self._tell(StoreContact(True, False))
+        self._tell(StorePathStatus(True, False))
 
     def _tell(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
--- a/marjoramgrade/messages/promises.py
+++ b/marjoramgrade/messages/promises.py
@@ -10,10 +10,10 @@
 
 
 @attrs.frozen
-class TableContact(Message[None]):
+class TableReachability(Message[None]):
     """Whether the last read of the table was answered."""
 
-    is_reached: bool
+    is_reachable: bool
 
 
 @attrs.frozen
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -252,7 +252,7 @@
 
 
 @attrs.frozen
-class StoreContact(Message[None]):
+class StorePathStatus(Message[None]):
     """Which way to the store works.
 
     Attributes:
@@ -265,7 +265,7 @@
 
 
 @attrs.frozen
-class StoreReachable(Message[None]):
+class StoreReachability(Message[None]):
     """Whether the leader's writes reach the store."""
 
     reachable: bool
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -16,7 +16,7 @@
 from marjoramgrade.messages.steps import (
     LeadershipConfirmed,
     LeadershipEnded,
-    StoreReachable,
+    StoreReachability,
 )
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.steprows import EPOCH_ROW
@@ -38,8 +38,8 @@
     async def _down(self, message: LeadershipEnded) -> None:
         self.received.append(message)
 
-    @handles(StoreReachable)
-    async def _reachable(self, message: StoreReachable) -> None:
+    @handles(StoreReachability)
+    async def _reachable(self, message: StoreReachability) -> None:
         self.received.append(message)
 
 
@@ -142,7 +142,7 @@
             with pytest.raises(TableRefusedError):
                 await asyncio.wait_for(unsent, 1)
             assert not stuck.done()
-            assert StoreReachable(False) in listener.received
+            assert StoreReachability(False) in listener.received
             stuck.cancel()
 
     asyncio.run(run())
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -26,7 +26,7 @@
     LeadershipAcquired,
     LeadershipEnded,
     RenewLeadership,
-    StoreContact,
+    StorePathStatus,
 )
 from marjoramgrade.steprows import (
     EPOCH_ROW,
@@ -214,8 +214,8 @@
         store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
-            leadership.tell(StoreContact(False, False))
-            leadership.tell(StoreContact(False, True))
+            leadership.tell(StorePathStatus(False, False))
+            leadership.tell(StorePathStatus(False, True))
             await until(lambda: LeaderLeft(1) in recorder.heard)
             await asyncio.sleep(0.3)
             assert not took(recorder, 2)
@@ -230,11 +230,11 @@
         store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
             await until(lambda: took(recorder, 1))
-            leadership.tell(StoreContact(False, False))
+            leadership.tell(StorePathStatus(False, False))
             await asyncio.sleep(0.5)
-            leadership.tell(StoreContact(False, True))
+            leadership.tell(StorePathStatus(False, True))
             await asyncio.sleep(0.4)
-            leadership.tell(StoreContact(True, False))
+            leadership.tell(StorePathStatus(True, False))
             await asyncio.sleep(0.5)
             assert LeaderLeft(1) not in recorder.heard
 
