--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -34,13 +34,13 @@
 from marjoramgrade.messages.peers import CallPeer
 from marjoramgrade.messages.rows import RowWrite
 from marjoramgrade.messages.steps import (
-    LinkAcknowledge,
-    LinkGrant,
-    LinkPace,
-    LinkStart,
-    LinkStop,
-    LinkSync,
+    AcknowledgeRunEnds,
+    AllowLeaseRenewal,
+    RaiseFence,
     RequestAdvice,
+    SendRunPace,
+    SendRunStart,
+    SendRunStop,
     StepAdvice,
     StepJobAccepted,
 )
@@ -221,9 +221,11 @@
                 worker=action.worker_id,
                 reason=action.reason,
             )
-            link.tell(LinkStop(action.task, action.run, action.fence))
+            link.tell(SendRunStop(action.task, action.run, action.fence))
         elif isinstance(action, PaceRun):
-            link.tell(LinkPace(action.task, action.run, action.percent, action.fence))
+            link.tell(
+                SendRunPace(action.task, action.run, action.percent, action.fence)
+            )
 
     def _send_starts(self, lead: LeaderState, starts: Sequence[StartRun]) -> None:
         for action in starts:
@@ -240,12 +242,12 @@
                 lead.state.start_refused(action.worker_id, order.task, order.run)
                 self._schedule_plan(lead)
                 continue
-            link.tell(LinkStart(order, action.fence))
+            link.tell(SendRunStart(order, action.fence))
 
     async def _sync_worker(self, lead: LeaderState, action: SyncWorker) -> None:
         link = lead.link_by_worker.get(action.worker_id)
         if link is not None:
-            link.tell(LinkSync(action.fence))
+            link.tell(RaiseFence(action.fence))
             return
         state = lead.state.worker_by_id.get(action.worker_id)
         if state is None:
@@ -282,7 +284,7 @@
         lead.link_by_worker[worker.worker_id] = link
         link.on_fatal = self.on_fatal
         await link.start()
-        link.tell(LinkGrant(lead.grant_until_ms))
+        link.tell(AllowLeaseRenewal(lead.grant_until_ms))
 
     async def _save_roster(self, lead: LeaderState) -> None:
         workers = tuple(
@@ -340,7 +342,7 @@
         if ends is not None:
             link = lead.link_by_worker.get(ends.worker_id)
             if link is not None:
-                link.tell(LinkAcknowledge(ends.born_unix_ms, ends.number))
+                link.tell(AcknowledgeRunEnds(ends.born_unix_ms, ends.number))
         if starts:
             self._send_starts(lead, starts)
 
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -29,14 +29,14 @@
 from marjoramgrade.messages.peers import MembersChanged
 from marjoramgrade.messages.rows import RowCheck, RowWrite
 from marjoramgrade.messages.steps import (
+    AllowLeaseRenewal,
     CallUnanswered,
     ConfigurationChanged,
     LeadershipAcquired,
     LeadershipConfirmed,
     LeadershipEnded,
-    LinkAlert,
-    LinkGrant,
     RenewLeadership,
+    ShortenListingWaits,
     StartAnswered,
     StartOutcome,
     StoreReachability,
@@ -161,7 +161,7 @@
         if until_ms - lead.grant_until_ms >= GRANT_LIMIT_MS // 16:
             lead.grant_until_ms = until_ms
             for link in lead.link_by_worker.values():
-                link.tell(LinkGrant(until_ms))
+                link.tell(AllowLeaseRenewal(until_ms))
 
     @handles(StoreReachability)
     async def _store_changed(self, message: StoreReachability) -> None:
@@ -278,7 +278,7 @@
             return
         lead.alert_until_ms = until_ms
         for link in lead.link_by_worker.values():
-            link.tell(LinkAlert(until_ms))
+            link.tell(ShortenListingWaits(until_ms))
 
     @handles(WorkerSilent)
     async def _worker_silent(self, message: WorkerSilent) -> None:
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -19,14 +19,14 @@
     WorkerUnreachableError,
 )
 from marjoramgrade.messages.steps import (
+    AcknowledgeRunEnds,
+    AllowLeaseRenewal,
     CallUnanswered,
-    LinkAcknowledge,
-    LinkAlert,
-    LinkGrant,
-    LinkPace,
-    LinkStart,
-    LinkStop,
-    LinkSync,
+    RaiseFence,
+    SendRunPace,
+    SendRunStart,
+    SendRunStop,
+    ShortenListingWaits,
     StartAnswered,
     StartOutcome,
     WorkerListed,
@@ -97,20 +97,20 @@
         """Close the connections."""
         self._port.close()
 
-    @handles(LinkGrant)
-    async def _grant(self, message: LinkGrant) -> None:
+    @handles(AllowLeaseRenewal)
+    async def _grant(self, message: AllowLeaseRenewal) -> None:
         self._grant_until_ms = message.until_ms
 
-    @handles(LinkAlert)
-    async def _alert(self, message: LinkAlert) -> None:
+    @handles(ShortenListingWaits)
+    async def _alert(self, message: ShortenListingWaits) -> None:
         is_first = self._clock.now_ms() >= self._alert_until_ms
         self._alert_until_ms = message.until_ms
         if is_first:
             # The listing on its way would show only at its end that nobody answers.
             self.spawn(self._list(0))
 
-    @handles(LinkAcknowledge)
-    async def _acknowledge(self, message: LinkAcknowledge) -> None:
+    @handles(AcknowledgeRunEnds)
+    async def _acknowledge(self, message: AcknowledgeRunEnds) -> None:
         if message.born_unix_ms != self._born_unix_ms:
             # The ends of this life have numbers of their own, which are not stored.
             return
@@ -118,26 +118,26 @@
             self._acknowledged = message.number
             self._changed.set()
 
-    @handles(LinkSync)
-    async def _sync(self, message: LinkSync) -> None:
+    @handles(RaiseFence)
+    async def _sync(self, message: RaiseFence) -> None:
         self._fence = max(self._fence, message.fence)
         self.spawn(self._list_now())
 
-    @handles(LinkStart)
-    async def _start(self, message: LinkStart) -> None:
+    @handles(SendRunStart)
+    async def _start(self, message: SendRunStart) -> None:
         self.spawn(self._send_start(message))
 
-    @handles(LinkStop)
-    async def _stop_run(self, message: LinkStop) -> None:
+    @handles(SendRunStop)
+    async def _stop_run(self, message: SendRunStop) -> None:
         self.spawn(self._send_stop(message))
 
-    @handles(LinkPace)
-    async def _pace_run(self, message: LinkPace) -> None:
+    @handles(SendRunPace)
+    async def _pace_run(self, message: SendRunPace) -> None:
         self.spawn(self._send_pace(message))
 
     # Orders
 
-    async def _send_start(self, message: LinkStart) -> None:
+    async def _send_start(self, message: SendRunStart) -> None:
         outcome, reason = await self._try_start(message)
         self._scheduler.tell(
             StartAnswered(
@@ -149,7 +149,7 @@
             )
         )
 
-    async def _try_start(self, message: LinkStart) -> tuple[StartOutcome, str]:
+    async def _try_start(self, message: SendRunStart) -> tuple[StartOutcome, str]:
         if not self._may_grant():
             return StartOutcome.REFUSED, "no_authority"
         if not self._lease.clock_received_ms:
@@ -173,14 +173,14 @@
         self._lease.record_clock(clock_ms, self._clock.now_ms())
         return StartOutcome.STARTED, ""
 
-    async def _send_stop(self, message: LinkStop) -> None:
+    async def _send_stop(self, message: SendRunStop) -> None:
         try:
             await self._port.stop(message.task, message.run, message.fence)
         except WorkerError as error:
             # The supervisor sends it again until the end is listed.
             self._log_failure("stop_failed", message.task.job_id, error)
 
-    async def _send_pace(self, message: LinkPace) -> None:
+    async def _send_pace(self, message: SendRunPace) -> None:
         try:
             await self._port.pace(
                 message.task, message.run, message.percent, message.fence
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -331,7 +331,7 @@
 
 
 @attrs.frozen
-class LinkAlert(Message[None]):
+class ShortenListingWaits(Message[None]):
     """Calls go unanswered, so listings must not wait long until a time."""
 
     until_ms: int
@@ -351,7 +351,7 @@
 
 
 @attrs.frozen
-class LinkStart(Message[None]):
+class SendRunStart(Message[None]):
     """Sends the start of a run."""
 
     order: StartOrder
@@ -359,7 +359,7 @@
 
 
 @attrs.frozen
-class LinkStop(Message[None]):
+class SendRunStop(Message[None]):
     """Sends the stop of a run."""
 
     task: TaskRef
@@ -368,7 +368,7 @@
 
 
 @attrs.frozen
-class LinkPace(Message[None]):
+class SendRunPace(Message[None]):
     """Sends a change of speed of a run."""
 
     task: TaskRef
@@ -378,14 +378,14 @@
 
 
 @attrs.frozen
-class LinkSync(Message[None]):
+class RaiseFence(Message[None]):
     """Lists the worker at once under a higher fence."""
 
     fence: int
 
 
 @attrs.frozen
-class LinkAcknowledge(Message[None]):
+class AcknowledgeRunEnds(Message[None]):
     """Lets a life of the worker forget ends up to a number.
 
     Attributes:
@@ -398,7 +398,7 @@
 
 
 @attrs.frozen
-class LinkGrant(Message[None]):
+class AllowLeaseRenewal(Message[None]):
     """Lets the link renew the worker's lease until a time on our clock."""
 
     until_ms: int
--- a/tests/test_stepworkerlink.py
+++ b/tests/test_stepworkerlink.py
@@ -15,12 +15,12 @@
     WorkerUnreachableError,
 )
 from marjoramgrade.messages.steps import (
+    AcknowledgeRunEnds,
+    AllowLeaseRenewal,
     CallUnanswered,
-    LinkAcknowledge,
-    LinkAlert,
-    LinkGrant,
-    LinkStart,
-    LinkSync,
+    RaiseFence,
+    SendRunStart,
+    ShortenListingWaits,
     StartAnswered,
     StartOutcome,
     WorkerListed,
@@ -99,7 +99,7 @@
             await actor.start()
             stack.push_async_callback(actor.stop)
         if granted:
-            link.tell(LinkGrant(clock.now_ms() + 60_000))
+            link.tell(AllowLeaseRenewal(clock.now_ms() + 60_000))
         async with asyncio.timeout(3):
             while not scheduler.of(WorkerListed):
                 await asyncio.sleep(0.005)
@@ -107,7 +107,7 @@
 
 
 def start():
-    return LinkStart(StartOrder(ref("a"), 1, "x"), 10)
+    return SendRunStart(StartOrder(ref("a"), 1, "x"), 10)
 
 
 async def answer_to_start(link, scheduler):
@@ -181,7 +181,7 @@
             port.ended = (RunEnd(1, ref("a"), 1, Ending.DONE, ""),)
             await asyncio.sleep(0.3)
             assert {call[3] for call in port.calls if call[0] == "renew"} == {0}
-            link.tell(LinkAcknowledge(1_000, 1))
+            link.tell(AcknowledgeRunEnds(1_000, 1))
             await asyncio.sleep(0.2)
             assert port.calls[-1][3] == 1
 
@@ -194,7 +194,7 @@
     async def run():
         async with linked() as (link, port, _):
             port.ended = (RunEnd(1, ref("a"), 1, Ending.DONE, ""),)
-            link.tell(LinkAcknowledge(999, 30))
+            link.tell(AcknowledgeRunEnds(999, 30))
             await asyncio.sleep(0.3)
             assert {call[3] for call in port.calls if call[0] == "renew"} == {0}
 
@@ -205,7 +205,7 @@
     # Guards against a listing that leaves unanswered orders in force.
     async def run():
         async with linked() as (link, _, scheduler):
-            link.tell(LinkSync(11))
+            link.tell(RaiseFence(11))
             async with asyncio.timeout(1):
                 while not any(m.fence == 11 for m in scheduler.of(WorkerListed)):
                     await asyncio.sleep(0.01)
@@ -235,7 +235,7 @@
                     await asyncio.sleep(0.005)
             port.error = WorkerSilentError("cut off")
             for ahead_ms in (1_000, 2_000):
-                link.tell(LinkAlert(clock.now_ms() + ahead_ms))
+                link.tell(ShortenListingWaits(clock.now_ms() + ahead_ms))
                 await asyncio.sleep(0.05)
             assert len(scheduler.of(CallUnanswered)) == 1
 
