--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -22,7 +22,7 @@
     ConfigurationChanged,
     GetConfiguration,
     WatchWorkers,
-    WorkersListed,
+    WorkersChanged,
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.stepconfig import StepConfig
@@ -227,7 +227,7 @@
                 self._worker_by_id.pop(row.row.key, None)
                 continue
             self._worker_by_id[row.row.key] = worker
-        self._scheduler.tell(WorkersListed(tuple(self._worker_by_id.values())))
+        self._scheduler.tell(WorkersChanged(tuple(self._worker_by_id.values())))
 
     def _tell(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -30,20 +30,20 @@
 from marjoramgrade.messages.rows import RowCheck, RowWrite
 from marjoramgrade.messages.steps import (
     AllowLeaseRenewal,
-    CallUnanswered,
     ConfigurationChanged,
     LeadershipAcquired,
     LeadershipConfirmed,
     LeadershipEnded,
     RenewLeadership,
+    RunStartResult,
     ShortenListingWaits,
-    StartAnswered,
     StartOutcome,
     StoreReachability,
     WatchWorkers,
-    WorkerListed,
-    WorkerSilent,
-    WorkersListed,
+    WorkerCallUnanswered,
+    WorkerListingReceived,
+    WorkersChanged,
+    WorkerUnresponsive,
 )
 from marjoramgrade.steprows import (
     EPOCH_ROW,
@@ -196,8 +196,8 @@
             if member.instance_id != self._instance_id
         }
 
-    @handles(WorkersListed)
-    async def _workers_listed(self, message: WorkersListed) -> None:
+    @handles(WorkersChanged)
+    async def _workers_listed(self, message: WorkersChanged) -> None:
         lead = self._lead
         if lead is None:
             return
@@ -224,8 +224,8 @@
                 self.spawn(link.stop())
             logs.state_change("worker_left", worker=worker_id)
 
-    @handles(WorkerListed)
-    async def _worker_listed(self, message: WorkerListed) -> None:
+    @handles(WorkerListingReceived)
+    async def _worker_listed(self, message: WorkerListingReceived) -> None:
         lead = self._lead
         worker = lead and lead.state.worker_by_id.get(message.worker_id)
         if lead is None or not worker:
@@ -261,8 +261,8 @@
         if worker.synced and not had_synced:
             self._schedule_plan(lead)
 
-    @handles(CallUnanswered)
-    async def _call_unanswered(self, message: CallUnanswered) -> None:
+    @handles(WorkerCallUnanswered)
+    async def _call_unanswered(self, message: WorkerCallUnanswered) -> None:
         lead = self._lead
         if lead is None:
             return
@@ -280,8 +280,8 @@
         for link in lead.link_by_worker.values():
             link.tell(ShortenListingWaits(until_ms))
 
-    @handles(WorkerSilent)
-    async def _worker_silent(self, message: WorkerSilent) -> None:
+    @handles(WorkerUnresponsive)
+    async def _worker_silent(self, message: WorkerUnresponsive) -> None:
         lead = self._lead
         worker = lead and lead.state.worker_by_id.get(message.worker_id)
         if lead is None or not worker:
@@ -296,8 +296,8 @@
             self._drop_departed(lead)
         self._perform_actions(lead)
 
-    @handles(StartAnswered)
-    async def _start_answered(self, message: StartAnswered) -> None:
+    @handles(RunStartResult)
+    async def _start_answered(self, message: RunStartResult) -> None:
         lead = self._lead
         if lead is None:
             return
@@ -313,7 +313,7 @@
             self._start_refused(lead, message)
         self._perform_actions(lead)
 
-    def _start_refused(self, lead: LeaderState, message: StartAnswered) -> None:
+    def _start_refused(self, lead: LeaderState, message: RunStartResult) -> None:
         run = lead.state.start_refused(message.worker_id, message.task, message.run)
         if run is None:
             return
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -21,16 +21,16 @@
 from marjoramgrade.messages.steps import (
     AcknowledgeRunEnds,
     AllowLeaseRenewal,
-    CallUnanswered,
     RaiseFence,
+    RunStartResult,
     SendRunPace,
     SendRunStart,
     SendRunStop,
     ShortenListingWaits,
-    StartAnswered,
     StartOutcome,
-    WorkerListed,
-    WorkerSilent,
+    WorkerCallUnanswered,
+    WorkerListingReceived,
+    WorkerUnresponsive,
 )
 from marjoramgrade.stepjobs import StepWorker, WorkerListing
 
@@ -140,7 +140,7 @@
     async def _send_start(self, message: SendRunStart) -> None:
         outcome, reason = await self._try_start(message)
         self._scheduler.tell(
-            StartAnswered(
+            RunStartResult(
                 self._worker_id,
                 message.order.task,
                 message.order.run,
@@ -263,7 +263,9 @@
         except (WorkerError, InvalidInputError) as error:
             return self._failed(error)
         self._heard(listing)
-        self._scheduler.tell(WorkerListed(self._worker_id, listing, fence, asked_ms))
+        self._scheduler.tell(
+            WorkerListingReceived(self._worker_id, listing, fence, asked_ms)
+        )
         return True
 
     def _heard(self, listing: WorkerListing) -> None:
@@ -283,7 +285,7 @@
 
     def _failed(self, error: WorkerError | InvalidInputError) -> bool:
         self._failures += 1
-        self._scheduler.tell(CallUnanswered(self._worker_id))
+        self._scheduler.tell(WorkerCallUnanswered(self._worker_id))
         if self._failures == FAILURES_TO_UNRESPONSIVE:
             logs.state_change(
                 "worker_silent",
@@ -299,7 +301,7 @@
             self._reported_expiry = expired
             if expired:
                 logs.state_change("worker_expired", worker=self._worker_id)
-            self._scheduler.tell(WorkerSilent(self._worker_id, expired))
+            self._scheduler.tell(WorkerUnresponsive(self._worker_id, expired))
         return False
 
 
--- a/marjoramgrade/decisions/steprun.py
+++ b/marjoramgrade/decisions/steprun.py
@@ -44,7 +44,7 @@
         recent_total_ms: How long it would take at the speed last measured, or None.
         checkpoint: Its newest checkpoint, or empty.
         checkpointed_ms: When that was first seen, or 0.
-        figure: See `RunReport.figure`.
+        measurement: See `RunReport.measurement`.
         share: Percent of its speed that it was paced to.
         above_target_ms: Since when its latency is above its target; 0 if it is not.
         idle_since_ms: Since when a long-running task is not at work; 0 if it is.
@@ -65,7 +65,7 @@
     recent_total_ms: float | None = None
     checkpoint: str = ""
     checkpointed_ms: int = 0
-    figure: int = 0
+    measurement: int = 0
     share: int = 100
     above_target_ms: int = 0
     idle_since_ms: int = 0
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -18,8 +18,8 @@
 from marjoramgrade.decisions.steptracker import StepTracker
 from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.stepjobs import (
-    Ending,
     RunEnd,
+    RunEndStatus,
     RunReport,
     StepJobState,
     TaskRef,
@@ -181,7 +181,7 @@
         if report.checkpoint and report.checkpoint != run.checkpoint:
             run.checkpoint, run.checkpointed_ms = report.checkpoint, now_ms
             run.step.record_checkpoint(run.task.index, report.checkpoint)
-        run.figure = report.figure
+        run.measurement = report.measurement
 
     def _ended(
         self, worker: WorkerState, end: RunEnd, now_ms: int, unix_ms: int
@@ -199,9 +199,9 @@
         if progress.state.is_final:
             return
         progress.started = True
-        if end.ending is Ending.DONE and not step.step.long_running:
+        if end.ending is RunEndStatus.DONE and not step.step.long_running:
             self._task_done(step, end.task.index, unix_ms)
-        elif end.ending is Ending.FAILED:
+        elif end.ending is RunEndStatus.FAILED:
             step.avoided_workers_by_index.setdefault(end.task.index, set()).add(
                 worker.worker.worker_id
             )
@@ -210,9 +210,9 @@
             self._changed[progress.job.job_id] = progress
 
     def _learn(
-        self, worker: WorkerState, run: Run, ending: Ending, now_ms: int
+        self, worker: WorkerState, run: Run, ending: RunEndStatus, now_ms: int
     ) -> None:
-        if ending is Ending.DONE:
+        if ending is RunEndStatus.DONE:
             duration_ms = now_ms - run.running_since_ms if run.running_since_ms else 0
             if duration_ms >= SLOW_FACTOR * self._expected_ms(run.step):
                 worker.suspicion.record_straggler(run.task.job_id, now_ms)
@@ -221,7 +221,7 @@
             if duration_ms and not run.step.checkpoint_of(run.task.index):
                 run.step.done_durations.append(duration_ms)
                 self.durations.add(run.step.job.queue.name, duration_ms)
-        elif ending is Ending.FAILED:
+        elif ending is RunEndStatus.FAILED:
             worker.suspicion.failed(run.task.job_id, now_ms)
 
     def _expected_ms(self, step: StepProgress) -> float:
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -222,7 +222,7 @@
         if not spare:
             return
         too_slow = any(
-            run.percent >= 100 and run.figure > run.step.step.latency_target_ms
+            run.percent >= 100 and run.measurement > run.step.step.latency_target_ms
             for run in bound
         )
         last_ms = self._paced_ms.get(worker.worker.worker_id, 0)
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -192,7 +192,7 @@
 
 
 @attrs.frozen
-class WorkersListed(Message[None]):
+class WorkersChanged(Message[None]):
     """The workers that the platform lists."""
 
     workers: tuple[StepWorker, ...]
@@ -288,7 +288,7 @@
 
 
 @attrs.frozen
-class StartAnswered(Message[None]):
+class RunStartResult(Message[None]):
     """What became of the order to start a run.
 
     Attributes:
@@ -307,7 +307,7 @@
 
 
 @attrs.frozen
-class WorkerListed(Message[None]):
+class WorkerListingReceived(Message[None]):
     """What a worker says of its runs.
 
     Attributes:
@@ -324,7 +324,7 @@
 
 
 @attrs.frozen
-class CallUnanswered(Message[None]):
+class WorkerCallUnanswered(Message[None]):
     """A worker left one call without an answer."""
 
     worker_id: str
@@ -338,7 +338,7 @@
 
 
 @attrs.frozen
-class WorkerSilent(Message[None]):
+class WorkerUnresponsive(Message[None]):
     """A worker gives no answer.
 
     Attributes:
--- a/marjoramgrade/platform/workers.py
+++ b/marjoramgrade/platform/workers.py
@@ -23,8 +23,8 @@
 from marjoramgrade.platform.decoding import DECODE_FAULTS
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import (
-    Ending,
     RunEnd,
+    RunEndStatus,
     RunReport,
     StartOrder,
     StepWorker,
@@ -40,12 +40,12 @@
 MAX_CONNECTIONS = 5
 
 _ENDING_BY_WORD = {
-    "done": Ending.DONE,
-    "failed": Ending.FAILED,
-    "stopped": Ending.STOPPED,
-    "lapsed": Ending.LEASE_EXPIRED,
-    "broken": Ending.GANG_BROKEN,
-    "alone": Ending.GANG_INCOMPLETE,
+    "done": RunEndStatus.DONE,
+    "failed": RunEndStatus.FAILED,
+    "stopped": RunEndStatus.STOPPED,
+    "lapsed": RunEndStatus.LEASE_EXPIRED,
+    "broken": RunEndStatus.GANG_BROKEN,
+    "alone": RunEndStatus.GANG_INCOMPLETE,
 }
 
 
@@ -186,9 +186,9 @@
 
 def _report(entry: list[Any]) -> RunReport:
     # The fifth entry has a unit that depends on the task; see RunReport.figure.
-    figure = int(entry[4]) if len(entry) > 4 and entry[4] is not None else 0
+    measurement = int(entry[4]) if len(entry) > 4 and entry[4] is not None else 0
     return RunReport(
-        parse_task(entry[0]), int(entry[1]), entry[2] or "", int(entry[3]), figure
+        parse_task(entry[0]), int(entry[1]), entry[2] or "", int(entry[3]), measurement
     )
 
 
--- a/marjoramgrade/stepjobs.py
+++ b/marjoramgrade/stepjobs.py
@@ -38,7 +38,7 @@
 )
 
 
-class Ending(enum.Enum):
+class RunEndStatus(enum.Enum):
     """How a run of a task ended."""
 
     DONE = "done"
@@ -172,7 +172,7 @@
         run: Number of the run.
         checkpoint: The newest checkpoint, or empty.
         percent: Progress, 0 to 100.
-        figure: Tail latency in milliseconds of a task with a latency target,
+        measurement: Tail latency in milliseconds of a task with a latency target,
             processor use in thousandths of a core of any other.
     """
 
@@ -180,7 +180,7 @@
     run: int
     checkpoint: str
     percent: int
-    figure: int
+    measurement: int
 
 
 @attrs.frozen
@@ -198,7 +198,7 @@
     number: int
     task: TaskRef
     run: int
-    ending: Ending
+    ending: RunEndStatus
     checkpoint: str
 
 
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -13,8 +13,8 @@
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepconfig import AdvicePolicy, Queue, StepConfig, TeamPolicy
 from marjoramgrade.stepjobs import (
-    Ending,
     RunEnd,
+    RunEndStatus,
     RunReport,
     Step,
     StepJob,
@@ -116,7 +116,9 @@
                 start.worker_id, start.order.task, start.order.run, self.now_ms
             )
 
-    def end(self, start: StartRun, number: int, ending: Ending = Ending.DONE) -> None:
+    def end(
+        self, start: StartRun, number: int, ending: RunEndStatus = RunEndStatus.DONE
+    ) -> None:
         """Let a worker list the end of a run."""
         task, run = start.order.task, start.order.run
         self.report_listing(
@@ -151,10 +153,12 @@
 
 
 def report(
-    start: StartRun, percent: int = 50, checkpoint: str = "", figure: int = 0
+    start: StartRun, percent: int = 50, checkpoint: str = "", measurement: int = 0
 ) -> RunReport:
     """Return what a worker says of a run that is present."""
-    return RunReport(start.order.task, start.order.run, checkpoint, percent, figure)
+    return RunReport(
+        start.order.task, start.order.run, checkpoint, percent, measurement
+    )
 
 
 def ref(job_id: str, index: int = 0, step: int = 0) -> TaskRef:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -18,7 +18,7 @@
     StoredRow,
     WatchRows,
 )
-from marjoramgrade.messages.steps import WatchWorkers, WorkersListed
+from marjoramgrade.messages.steps import WatchWorkers, WorkersChanged
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.stepconfig import StepConfig
 from tests.steps import worker
@@ -53,8 +53,8 @@
         super().__init__()
         self.listed = ()
 
-    @handles(WorkersListed)
-    async def _listed(self, message: WorkersListed) -> None:
+    @handles(WorkersChanged)
+    async def _listed(self, message: WorkersChanged) -> None:
         self.listed = message.workers
 
 
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -46,7 +46,7 @@
     serialize_task,
 )
 from marjoramgrade.resources import Resources
-from marjoramgrade.stepjobs import Ending, StepJobState, TaskRef
+from marjoramgrade.stepjobs import RunEndStatus, StepJobState, TaskRef
 
 ENTRY = {
     "service": "pool",
@@ -193,8 +193,8 @@
             "ended": [[58, name, 1, "lapsed", ""]],
         }
     )
-    assert listing.running[0].figure == 12
-    assert listing.ended[0].ending is Ending.LEASE_EXPIRED
+    assert listing.running[0].measurement == 12
+    assert listing.ended[0].ending is RunEndStatus.LEASE_EXPIRED
     with pytest.raises(InvalidInputError):
         parse_listing({"clockMs": 1, "ended": [[1, name, 1, "vanished", ""]]})
 
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -10,7 +10,7 @@
 from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.tickets import Ticket
 from marjoramgrade.resources import Resources
-from marjoramgrade.stepjobs import Ending, RunEnd, Step
+from marjoramgrade.stepjobs import RunEnd, RunEndStatus, Step
 from tests.steps import (
     ADVISED,
     BORN_MS,
@@ -85,7 +85,7 @@
     cell.add(job("a"))
     (first,) = starts(cell.plan())
     cell.confirm(first)
-    cell.end(first, 1, Ending.FAILED)
+    cell.end(first, 1, RunEndStatus.FAILED)
     (second,) = starts(cell.plan())
     assert second.worker_id != first.worker_id
 
@@ -196,12 +196,12 @@
             cell.confirm(start)
             is_report = start.order.task.job_id.startswith("r")
             took_ms = 6_000 if is_report else 1_000
-            due_ends.append((cell.now_ms + took_ms, start, Ending.DONE))
+            due_ends.append((cell.now_ms + took_ms, start, RunEndStatus.DONE))
         for stop in stops(actions):
             for entry in due_ends:
                 if (entry[1].order.task, entry[1].order.run) == (stop.task, stop.run):
                     due_ends.remove(entry)
-                    ending = (cell.now_ms + 400, entry[1], Ending.STOPPED)
+                    ending = (cell.now_ms + 400, entry[1], RunEndStatus.STOPPED)
                     due_ends.append(ending)
                     break
     urgent = [p for p in cell.state.job_by_id.values() if p.queue.name == "urgent"]
@@ -243,7 +243,7 @@
             cell.report_listing(
                 "w",
                 running=tuple(report(start) for _, start in due_ends),
-                ended=(RunEnd(number, order.task, order.run, Ending.DONE, ""),),
+                ended=(RunEnd(number, order.task, order.run, RunEndStatus.DONE, ""),),
             )
         for start in starts(cell.plan()) if tick >= 60 else ():
             cell.confirm(start)
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -32,13 +32,13 @@
     LeadershipAcquired,
     StepJobAccepted,
     SubmitStepJob,
-    WorkersListed,
+    WorkersChanged,
 )
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.stepconfig import StepConfig
 from marjoramgrade.stepjobs import (
-    Ending,
     RunEnd,
+    RunEndStatus,
     RunReport,
     Step,
     StepJobState,
@@ -75,7 +75,7 @@
 
     async def stop(self, task, run, fence):
         if self.running.pop((task, run), None) is not None:
-            self.end(task, run, Ending.STOPPED)
+            self.end(task, run, RunEndStatus.STOPPED)
         return self.clock()
 
     async def pace(self, task, run, percent, fence):
@@ -91,7 +91,7 @@
         for key, due_ms in list(self.running.items()):
             if due_ms <= self.clock():
                 del self.running[key]
-                self.end(*key, Ending.DONE)
+                self.end(*key, RunEndStatus.DONE)
         running = tuple(RunReport(*key, "", 50, 0) for key in self.running)
         ended = tuple(end for end in self.ended if end.number > acknowledged)
         return WorkerListing(1_000, self.clock(), running, ended)
@@ -139,7 +139,7 @@
             scheduler.tell(ConfigurationChanged(config, frozenset()))
         version = store.apply(CommitRows((), (RowWrite(EPOCH_ROW, b"1"),))).version
         await scheduler.ask(LeadershipAcquired(epoch, version))
-        scheduler.tell(WorkersListed((worker("w"), worker("v"))))
+        scheduler.tell(WorkersChanged((worker("w"), worker("v"))))
         yield store, scheduler, ports
 
 
@@ -350,7 +350,7 @@
                 attrs.evolve(worker(worker_id), draining=True)
                 for worker_id in ("w", "v")
             )
-            scheduler.tell(WorkersListed(leaving))
+            scheduler.tell(WorkersChanged(leaving))
             store.mode = "ok"
             await call
             await asyncio.sleep(0.2)
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -9,7 +9,7 @@
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.steptracker import RUNS_PER_EPOCH
 from marjoramgrade.resources import NOTHING
-from marjoramgrade.stepjobs import Ending, RunEnd, RunReport, Step, StepJobState
+from marjoramgrade.stepjobs import RunEnd, RunEndStatus, RunReport, Step, StepJobState
 from marjoramgrade.steprows import parse_row, serialize_row
 from tests.steps import (
     REPORTS,
@@ -90,14 +90,14 @@
     progress = cell.add(job("a"), REPORTS)
     (start,) = starts(cell.plan())
     cell.confirm(start)
-    cell.end(start, 1, Ending.FAILED)
-    cell.end(start, 1, Ending.FAILED)
+    cell.end(start, 1, RunEndStatus.FAILED)
+    cell.end(start, 1, RunEndStatus.FAILED)
     assert progress.state is not StepJobState.FAILED
     record = parse_row(serialize_row(progress.record()), JobRecord)
 
     heir = StepHarness.make(worker("w"), epoch=2)
     restored = heir.state.restore_job(progress.job, REPORTS, record, 0, 0)
-    end = RunEnd(1, start.order.task, start.order.run, Ending.FAILED, "")
+    end = RunEnd(1, start.order.task, start.order.run, RunEndStatus.FAILED, "")
     heir.report_listing("w", ended=(end,))
     assert restored.state is not StepJobState.FAILED
 
@@ -107,7 +107,13 @@
     cell = StepHarness.make(worker("w"))
     progress = cell.add(job("a"), REPORTS)
     for number, ending in enumerate(
-        (Ending.STOPPED, Ending.LEASE_EXPIRED, Ending.FAILED, Ending.FAILED), 1
+        (
+            RunEndStatus.STOPPED,
+            RunEndStatus.LEASE_EXPIRED,
+            RunEndStatus.FAILED,
+            RunEndStatus.FAILED,
+        ),
+        1,
     ):
         assert not progress.state.is_final
         (start,) = starts(cell.plan())
@@ -182,7 +188,7 @@
     cell.confirm(start)
     assert len(stops(cell.collect_actions())) == 1
     assert cell.worker("w").used == cores(1)
-    cell.end(start, 1, Ending.STOPPED)
+    cell.end(start, 1, RunEndStatus.STOPPED)
     assert cell.worker("w").used == NOTHING
     assert not cell.state.open_job_by_id
 
@@ -205,7 +211,7 @@
     cell = StepHarness.make(worker("w"))
     cell.report_listing("w", born_ms=5_000)
     cell.report_listing("w", born_ms=5_000)
-    end = RunEnd(1, ref("a"), 1, Ending.DONE, "")
+    end = RunEnd(1, ref("a"), 1, RunEndStatus.DONE, "")
     cell.report_listing("w", ended=(end,), born_ms=BORN)
     assert cell.worker("w").last_end_number == 0
 
@@ -260,7 +266,7 @@
     first, second, _ = starts(cell.plan())
     cell.confirm(first, second)
     cell.end(first, 1)
-    end = RunEnd(2, second.order.task, second.order.run, Ending.FAILED, "saved-1")
+    end = RunEnd(2, second.order.task, second.order.run, RunEndStatus.FAILED, "saved-1")
     cell.report_listing("w", ended=(end,))
     record = parse_row(serialize_row(progress.record()), JobRecord)
     heir = StepHarness.make(worker("w"), epoch=2)
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -22,8 +22,8 @@
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepconfig import StepConfig, TeamPolicy
 from marjoramgrade.stepjobs import (
-    Ending,
     RunEnd,
+    RunEndStatus,
     RunReport,
     Step,
     WorkerListing,
@@ -71,7 +71,7 @@
         if not self.admits(fence):
             return
         if (task, run) in self.running:
-            self.end((task, run), Ending.STOPPED)
+            self.end((task, run), RunEndStatus.STOPPED)
         self.highest_run[task] = max(run, self.highest_run.get(task, 0))
 
 
@@ -153,7 +153,7 @@
             state, listing, state.fence, self.now_ms, self.now_ms, self.now_ms
         )
         for end in fake.ended:
-            if end.ending is Ending.DONE:
+            if end.ending is RunEndStatus.DONE:
                 self.done.add(end.task)
         self.carry_out()
         # The store has what changed, so the ends may be forgotten.
@@ -162,7 +162,9 @@
     @precondition(lambda self: any(f.running for f in self.workers.values()))
     @rule(
         data=st.data(),
-        ending=st.sampled_from((Ending.DONE, Ending.FAILED, Ending.STOPPED)),
+        ending=st.sampled_from(
+            (RunEndStatus.DONE, RunEndStatus.FAILED, RunEndStatus.STOPPED)
+        ),
     )
     def run_ends(self, data, ending):
         present = [
--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -7,7 +7,7 @@
 from marjoramgrade.decisions.stepactions import PaceRun
 from marjoramgrade.decisions.stepsupervision import Supervisor
 from marjoramgrade.resources import Resources
-from marjoramgrade.stepjobs import Ending, Step
+from marjoramgrade.stepjobs import RunEndStatus, Step
 from tests.steps import REPORTS, StepHarness, cores, job, report, starts, stops, worker
 
 
@@ -35,7 +35,7 @@
     cell.now_ms += 2_000
     cell.report_listing(start.worker_id, running=(report(start, 20),))
     (stop,) = stops(supervise(cell, supervisor))
-    cell.end(start, 1, Ending.STOPPED)
+    cell.end(start, 1, RunEndStatus.STOPPED)
     (again,) = starts(cell.plan())
     assert (stop.worker_id, again.worker_id != start.worker_id) == (
         start.worker_id,
@@ -99,7 +99,7 @@
         if not stops(supervise(cell, supervisor)):
             break
         moves += 1
-        cell.end(start, 1, Ending.STOPPED)
+        cell.end(start, 1, RunEndStatus.STOPPED)
     assert moves == 2
 
 
@@ -132,7 +132,7 @@
         cell.state.worker_by_id[start.worker_id].run_by_task[
             (start.order.task, start.order.run)
         ].running_since_ms = cell.now_ms - took_ms
-        cell.end(start, start.order.task.index + 1, Ending.DONE)
+        cell.end(start, start.order.task.index + 1, RunEndStatus.DONE)
         assert suspicion.probing is (took_ms == 5_000)
 
 
@@ -170,7 +170,7 @@
     cell.add(job("a", Step(3, cores(1), gang=True)))
     members = starts(cell.plan())
     cell.confirm(*members)
-    cell.end(members[0], 1, Ending.LEASE_EXPIRED)
+    cell.end(members[0], 1, RunEndStatus.LEASE_EXPIRED)
     assert len(stops(supervise(cell, supervisor))) == 2
 
 
@@ -198,7 +198,7 @@
     shares = []
     for _ in range(4):
         cell.now_ms += 600
-        running = (report(sent["l"], 100, figure=90), report(sent["s"], 10))
+        running = (report(sent["l"], 100, measurement=90), report(sent["s"], 10))
         cell.report_listing("w", running=running)
         actions = supervise(cell, supervisor)
         shares += [a.percent for a in actions if isinstance(a, PaceRun)]
--- a/tests/test_stepworkerlink.py
+++ b/tests/test_stepworkerlink.py
@@ -17,16 +17,16 @@
 from marjoramgrade.messages.steps import (
     AcknowledgeRunEnds,
     AllowLeaseRenewal,
-    CallUnanswered,
     RaiseFence,
+    RunStartResult,
     SendRunStart,
     ShortenListingWaits,
-    StartAnswered,
     StartOutcome,
-    WorkerListed,
-    WorkerSilent,
+    WorkerCallUnanswered,
+    WorkerListingReceived,
+    WorkerUnresponsive,
 )
-from marjoramgrade.stepjobs import Ending, RunEnd, StartOrder, WorkerListing
+from marjoramgrade.stepjobs import RunEnd, RunEndStatus, StartOrder, WorkerListing
 from tests.steps import ref, worker
 
 HOLD_MS = 300
@@ -70,20 +70,20 @@
         super().__init__()
         self.received = []
 
-    @handles(WorkerListed)
-    async def _listed(self, message: WorkerListed) -> None:
+    @handles(WorkerListingReceived)
+    async def _listed(self, message: WorkerListingReceived) -> None:
         self.received.append(message)
 
-    @handles(WorkerSilent)
-    async def _silent(self, message: WorkerSilent) -> None:
+    @handles(WorkerUnresponsive)
+    async def _silent(self, message: WorkerUnresponsive) -> None:
         self.received.append(message)
 
-    @handles(StartAnswered)
-    async def _answered(self, message: StartAnswered) -> None:
+    @handles(RunStartResult)
+    async def _answered(self, message: RunStartResult) -> None:
         self.received.append(message)
 
-    @handles(CallUnanswered)
-    async def _unanswered(self, message: CallUnanswered) -> None:
+    @handles(WorkerCallUnanswered)
+    async def _unanswered(self, message: WorkerCallUnanswered) -> None:
         self.received.append(message)
 
     def of(self, kind):
@@ -101,7 +101,7 @@
         if granted:
             link.tell(AllowLeaseRenewal(clock.now_ms() + 60_000))
         async with asyncio.timeout(3):
-            while not scheduler.of(WorkerListed):
+            while not scheduler.of(WorkerListingReceived):
                 await asyncio.sleep(0.005)
         yield link, port, scheduler
 
@@ -113,9 +113,9 @@
 async def answer_to_start(link, scheduler):
     link.tell(start())
     async with asyncio.timeout(3):
-        while not scheduler.of(StartAnswered):
+        while not scheduler.of(RunStartResult):
             await asyncio.sleep(0.005)
-    return scheduler.of(StartAnswered)[0]
+    return scheduler.of(RunStartResult)[0]
 
 
 def test_start_outcomes_are_told_apart():
@@ -154,7 +154,7 @@
             await asyncio.sleep(0.05)
             port.calls.clear()
             async with asyncio.timeout(5):
-                while not any(m.expired for m in scheduler.of(WorkerSilent)):
+                while not any(m.expired for m in scheduler.of(WorkerUnresponsive)):
                     await asyncio.sleep(0.01)
             expiries = {call[2] for call in port.calls if call[0] == "renew"}
             assert len(expiries) == 1
@@ -168,7 +168,7 @@
         async with linked() as (_, port, scheduler):
             port.error = WorkerReplacedError("gone")
             async with asyncio.timeout(1):
-                while not any(m.expired for m in scheduler.of(WorkerSilent)):
+                while not any(m.expired for m in scheduler.of(WorkerUnresponsive)):
                     await asyncio.sleep(0.01)
 
     asyncio.run(run())
@@ -178,7 +178,7 @@
     # Guards against ends that are forgotten before the store has them.
     async def run():
         async with linked() as (link, port, _):
-            port.ended = (RunEnd(1, ref("a"), 1, Ending.DONE, ""),)
+            port.ended = (RunEnd(1, ref("a"), 1, RunEndStatus.DONE, ""),)
             await asyncio.sleep(0.3)
             assert {call[3] for call in port.calls if call[0] == "renew"} == {0}
             link.tell(AcknowledgeRunEnds(1_000, 1))
@@ -193,7 +193,7 @@
     # so that their tasks run a second time (soak seed 1 beside load).
     async def run():
         async with linked() as (link, port, _):
-            port.ended = (RunEnd(1, ref("a"), 1, Ending.DONE, ""),)
+            port.ended = (RunEnd(1, ref("a"), 1, RunEndStatus.DONE, ""),)
             link.tell(AcknowledgeRunEnds(999, 30))
             await asyncio.sleep(0.3)
             assert {call[3] for call in port.calls if call[0] == "renew"} == {0}
@@ -207,7 +207,9 @@
         async with linked() as (link, _, scheduler):
             link.tell(RaiseFence(11))
             async with asyncio.timeout(1):
-                while not any(m.fence == 11 for m in scheduler.of(WorkerListed)):
+                while not any(
+                    m.fence == 11 for m in scheduler.of(WorkerListingReceived)
+                ):
                     await asyncio.sleep(0.01)
 
     asyncio.run(run())
@@ -237,6 +239,6 @@
             for ahead_ms in (1_000, 2_000):
                 link.tell(ShortenListingWaits(clock.now_ms() + ahead_ms))
                 await asyncio.sleep(0.05)
-            assert len(scheduler.of(CallUnanswered)) == 1
+            assert len(scheduler.of(WorkerCallUnanswered)) == 1
 
     asyncio.run(run())
