--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -18,9 +18,9 @@
 )
 from marjoramgrade.messages.rows import ReadRows, RowsPage, StoredRow, WatchRows
 from marjoramgrade.messages.steps import (
-    AwaitConfiguration,
-    ConfigurationChanged,
-    GetConfiguration,
+    AwaitStepConfig,
+    GetStepConfig,
+    StepConfigChanged,
     WatchWorkers,
     WorkersChanged,
 )
@@ -111,15 +111,15 @@
                 )
             )
 
-    @handles(GetConfiguration)
-    async def _get(self, message: GetConfiguration) -> StepConfig:
+    @handles(GetStepConfig)
+    async def _get(self, message: GetStepConfig) -> StepConfig:
         return self._config
 
-    @handles(AwaitConfiguration)
-    async def _await(self, message: AwaitConfiguration) -> Any:
+    @handles(AwaitStepConfig)
+    async def _await(self, message: AwaitStepConfig) -> Any:
         return self.spawn(self._await_version(message))
 
-    async def _await_version(self, message: AwaitConfiguration) -> StepConfig:
+    async def _await_version(self, message: AwaitStepConfig) -> StepConfig:
         try:
             async with asyncio.timeout(message.timeout_ms / 1000):
                 while self._config.version < message.version:
@@ -189,7 +189,7 @@
         if evacuated != self._evacuated:
             logs.state_change("zones_evacuated", zones=",".join(sorted(evacuated)))
         self._config, self._evacuated = config, frozenset(evacuated)
-        self._tell(ConfigurationChanged(config, self._evacuated))
+        self._tell(StepConfigChanged(config, self._evacuated))
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -30,7 +30,6 @@
 from marjoramgrade.messages.rows import RowCheck, RowWrite
 from marjoramgrade.messages.steps import (
     AllowLeaseRenewal,
-    ConfigurationChanged,
     LeadershipAcquired,
     LeadershipConfirmed,
     LeadershipEnded,
@@ -38,6 +37,7 @@
     RunStartResult,
     ShortenListingWaits,
     StartOutcome,
+    StepConfigChanged,
     StoreReachability,
     WatchWorkers,
     WorkerCallUnanswered,
@@ -173,8 +173,8 @@
             with contextlib.suppress(ShuttingDownError):
                 self._directory.tell(WatchWorkers(enabled))
 
-    @handles(ConfigurationChanged)
-    async def _config_changed(self, message: ConfigurationChanged) -> None:
+    @handles(StepConfigChanged)
+    async def _config_changed(self, message: StepConfigChanged) -> None:
         self._config = message.config
         self._evacuated_zones = message.evacuated_zones
         lead = self._lead
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -8,7 +8,7 @@
 from marjoramgrade import logs
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.clock import Clock
-from marjoramgrade.messages.steps import ConfigurationChanged, LeaderBeat, LeaderChanged
+from marjoramgrade.messages.steps import LeaderBeat, LeaderChanged, StepConfigChanged
 
 POLL_MS = 200
 # An instance that has not heard a leader for this long sends its callers to others:
@@ -47,8 +47,8 @@
         """Start to look."""
         self.keep_running(self._run())
 
-    @handles(ConfigurationChanged)
-    async def _config_changed(self, message: ConfigurationChanged) -> None:
+    @handles(StepConfigChanged)
+    async def _config_changed(self, message: StepConfigChanged) -> None:
         self._has_config = True
 
     @handles(LeaderChanged)
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -22,7 +22,7 @@
 )
 from marjoramgrade.messages.rows import RowWrite
 from marjoramgrade.messages.steps import (
-    AwaitConfiguration,
+    AwaitStepConfig,
     CancelStepJob,
     CountPending,
     GetStepJob,
@@ -116,7 +116,7 @@
         config = self._config
         if config.version < config_version and self._directory is not None:
             config = await self._directory.ask(
-                AwaitConfiguration(config_version, CONFIG_WAIT_MS)
+                AwaitStepConfig(config_version, CONFIG_WAIT_MS)
             )
         queue = config.queue_by_name.get(name)
         if queue is None:
--- a/marjoramgrade/filters/queues.py
+++ b/marjoramgrade/filters/queues.py
@@ -21,10 +21,10 @@
 from marjoramgrade.filters.chain import Filter, Proceed
 from marjoramgrade.filters.context import Context, Principal
 from marjoramgrade.messages.steps import (
-    AwaitConfiguration,
+    AwaitStepConfig,
     CancelStepJob,
     CountPending,
-    GetConfiguration,
+    GetStepConfig,
     GetStepJob,
     QueueRequest,
     QueueVerb,
@@ -80,9 +80,9 @@
 
     async def _config(self) -> StepConfig:
         directory = self._environment.directory
-        config = await directory.ask(GetConfiguration())
+        config = await directory.ask(GetStepConfig())
         if not config.version:
-            config = await directory.ask(AwaitConfiguration(1, FIRST_CONFIG_MS))
+            config = await directory.ask(AwaitStepConfig(1, FIRST_CONFIG_MS))
         return config
 
 
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -145,7 +145,7 @@
 
 
 @attrs.frozen
-class ConfigurationChanged(Message[None]):
+class StepConfigChanged(Message[None]):
     """A newer configuration, or another set of evacuated zones."""
 
     config: StepConfig
@@ -153,7 +153,7 @@
 
 
 @attrs.frozen
-class AwaitConfiguration(Message[StepConfig]):
+class AwaitStepConfig(Message[StepConfig]):
     """Asks for the configuration once it has at least a version."""
 
     version: int
@@ -161,7 +161,7 @@
 
 
 @attrs.frozen
-class GetConfiguration(Message[StepConfig]):
+class GetStepConfig(Message[StepConfig]):
     """Asks for the newest configuration that this instance knows."""
 
 
--- a/tests/test_filters_queues.py
+++ b/tests/test_filters_queues.py
@@ -25,8 +25,8 @@
     QueueEnvironment,
 )
 from marjoramgrade.messages.steps import (
-    AwaitConfiguration,
-    GetConfiguration,
+    AwaitStepConfig,
+    GetStepConfig,
     GetStepJob,
     QueueRequest,
     QueueVerb,
@@ -47,12 +47,12 @@
         self.config = config
         self.later = later
 
-    @handles(GetConfiguration)
-    async def _get(self, message: GetConfiguration) -> StepConfig:
+    @handles(GetStepConfig)
+    async def _get(self, message: GetStepConfig) -> StepConfig:
         return self.config
 
-    @handles(AwaitConfiguration)
-    async def _await(self, message: AwaitConfiguration) -> StepConfig:
+    @handles(AwaitStepConfig)
+    async def _await(self, message: AwaitStepConfig) -> StepConfig:
         if self.later is None:
             raise StaleAuthorityError("not here yet")
         self.config = self.later
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -14,7 +14,7 @@
     POLL_MS,
     ReadinessController,
 )
-from marjoramgrade.messages.steps import ConfigurationChanged, LeaderBeat
+from marjoramgrade.messages.steps import LeaderBeat, StepConfigChanged
 from marjoramgrade.stepconfig import StepConfig
 
 
@@ -32,7 +32,7 @@
     async with contextlib.AsyncExitStack() as stack:
         await controller.start()
         stack.push_async_callback(controller.stop)
-        controller.tell(ConfigurationChanged(StepConfig(version=1), frozenset()))
+        controller.tell(StepConfigChanged(StepConfig(version=1), frozenset()))
         yield signal, controller
 
 
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -27,9 +27,9 @@
 from marjoramgrade.messages.rows import CommitRows, RowWrite
 from marjoramgrade.messages.steps import (
     CancelStepJob,
-    ConfigurationChanged,
     GetStepJob,
     LeadershipAcquired,
+    StepConfigChanged,
     StepJobAccepted,
     SubmitStepJob,
     WorkersChanged,
@@ -136,7 +136,7 @@
                 stack.push_async_callback(actor.stop)
         config = config or StepConfig(1, {"urgent": URGENT})
         if config.version:
-            scheduler.tell(ConfigurationChanged(config, frozenset()))
+            scheduler.tell(StepConfigChanged(config, frozenset()))
         version = store.apply(CommitRows((), (RowWrite(EPOCH_ROW, b"1"),))).version
         await scheduler.ask(LeadershipAcquired(epoch, version))
         scheduler.tell(WorkersChanged((worker("w"), worker("v"))))
