--- a/marjoramgrade/platform/configuration.py
+++ b/marjoramgrade/platform/configuration.py
@@ -11,8 +11,8 @@
 from marjoramgrade.platform.workers import parse_resources
 from marjoramgrade.stepconfig import (
     AdvicePolicy,
-    BodyLimits,
     Queue,
+    RequestSizeLimits,
     StepConfig,
     TeamPolicy,
     WorkerPool,
@@ -41,7 +41,7 @@
             {queue.name: queue for queue in queues},
             {pool.name: pool for pool in pools},
             {team.name: team for team in teams},
-            BodyLimits(
+            RequestSizeLimits(
                 int(limits.get("maxHeaderBytes") or 16_384),
                 int(limits.get("maxBodyBytes") or 262_144),
             ),
--- a/marjoramgrade/stepconfig.py
+++ b/marjoramgrade/stepconfig.py
@@ -59,12 +59,12 @@
 
     Attributes:
         name: Name of the pool.
-        guards_capacity: Whether its workers refuse what does not fit.
+        enforces_capacity: Whether its workers refuse what does not fit.
         standby: Whether its machines are switched off.
     """
 
     name: str
-    guards_capacity: bool = False
+    enforces_capacity: bool = False
     standby: bool = False
 
 
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen
-class BodyLimits:
+class RequestSizeLimits:
     """Bounds of what a caller may send."""
 
     max_header_bytes: int = 16_384
@@ -109,7 +109,7 @@
     queue_by_name: Mapping[str, Queue] = attrs.field(factory=dict)
     pool_by_name: Mapping[str, WorkerPool] = attrs.field(factory=dict)
     team_by_name: Mapping[str, TeamPolicy] = attrs.field(factory=dict)
-    limits: BodyLimits = BodyLimits()
+    limits: RequestSizeLimits = RequestSizeLimits()
 
     def find_queue(self, host: str, path: str) -> Queue | None:
         """Return the queue with the longest prefix of a path, or None."""
