--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -28,11 +28,11 @@
     BeginWrite,
     ConfigAttested,
     EndWrite,
-    MayTakeShard,
-    MemberReplaced,
+    MayTakeOverShard,
     OwnershipAttested,
-    ShardDropped,
-    ShardHeld,
+    PreviousIncarnationFound,
+    ShardOwnershipEnded,
+    ShardStandbysSet,
     TableReachability,
 )
 from marjoramgrade.metrics import Metrics
@@ -97,14 +97,14 @@
         if not message.is_reachable:
             self._round_due.set()
 
-    @handles(MemberReplaced)
-    async def _member_replaced(self, message: MemberReplaced) -> None:
+    @handles(PreviousIncarnationFound)
+    async def _member_replaced(self, message: PreviousIncarnationFound) -> None:
         """Keep the promises that an earlier life of this instance may have made."""
         until_ms = self._clock.now_ms() + PROMISE_MS + DRIFT_MARGIN_MS
         self._book.given.until_ms = max(self._book.given.until_ms, until_ms)
 
-    @handles(ShardHeld)
-    async def _shard_held(self, message: ShardHeld) -> None:
+    @handles(ShardStandbysSet)
+    async def _shard_held(self, message: ShardStandbysSet) -> None:
         self._held_shards.add(message.shard)
         received = self._book.for_shard(message.shard)
         if message.is_proposed:
@@ -112,8 +112,8 @@
         else:
             received.set_members(message.guardians)
 
-    @handles(ShardDropped)
-    async def _shard_dropped(self, message: ShardDropped) -> None:
+    @handles(ShardOwnershipEnded)
+    async def _shard_dropped(self, message: ShardOwnershipEnded) -> None:
         self._held_shards.discard(message.shard)
         self._book.discard_shard(message.shard)
 
@@ -145,8 +145,8 @@
     async def _end_write(self, message: EndWrite) -> None:
         self._book.given.end_write(message.write_id)
 
-    @handles(MayTakeShard)
-    async def _may_take_shard(self, message: MayTakeShard) -> bool:
+    @handles(MayTakeOverShard)
+    async def _may_take_shard(self, message: MayTakeOverShard) -> bool:
         return may_take_over_shard(
             self._own.instance_id,
             message.row,
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -26,7 +26,11 @@
     PeerTell,
     TellPeers,
 )
-from marjoramgrade.messages.promises import BeginWrite, EndWrite, MemberReplaced
+from marjoramgrade.messages.promises import (
+    BeginWrite,
+    EndWrite,
+    PreviousIncarnationFound,
+)
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.store import Store
 
@@ -106,7 +110,7 @@
             try:
                 if not self._is_registered:
                     if await self._store.write_member(self._own):
-                        self._authority.tell(MemberReplaced())
+                        self._authority.tell(PreviousIncarnationFound())
                     self._is_registered = True
                 await self._apply(await self._store.read_members())
                 await self._remove_ended()
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -30,10 +30,10 @@
 from marjoramgrade.messages.promises import (
     BeginWrite,
     EndWrite,
-    MayTakeShard,
+    MayTakeOverShard,
     OwnershipAttested,
-    ShardDropped,
-    ShardHeld,
+    ShardOwnershipEnded,
+    ShardStandbysSet,
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.store import Store
@@ -137,7 +137,7 @@
         state.watch.observe(stored.row, stored.version, now_ms)
         if not state.watch.may_take_over(now_ms) or self._is_releasing:
             return
-        if await self._authority.ask(MayTakeShard(stored.row)):
+        if await self._authority.ask(MayTakeOverShard(stored.row)):
             await self._take(state)
         else:
             self._metrics.retried("takeover_not_acknowledged")
@@ -162,7 +162,9 @@
             self._resolve_writes(state)
             raise
         self._resolve_writes(state)
-        self._authority.tell(ShardHeld(row.shard, row.guardians, is_proposed=False))
+        self._authority.tell(
+            ShardStandbysSet(row.shard, row.guardians, is_proposed=False)
+        )
         state.row = row
         state.fence_version = state.version
         state.lease = HeldLease(row.epoch)
@@ -173,14 +175,18 @@
     async def _renew(self, state: _ShardState, lease: HeldLease) -> None:
         asked_ms = self._clock.now_ms()
         row = state.row.renewed(self._guardians)
-        self._authority.tell(ShardHeld(row.shard, row.guardians, is_proposed=True))
+        self._authority.tell(
+            ShardStandbysSet(row.shard, row.guardians, is_proposed=True)
+        )
         try:
             state.version = await self._store.write_shard(row, state.version)
         except CheckFailedError:
             await self._resolve_conflict(state, lease)
             return
         state.row = row
-        self._authority.tell(ShardHeld(row.shard, row.guardians, is_proposed=False))
+        self._authority.tell(
+            ShardStandbysSet(row.shard, row.guardians, is_proposed=False)
+        )
         lease.confirm(asked_ms)
         self._publish(row.shard, lease)
 
@@ -213,7 +219,7 @@
         state.lease = None
         state.watch = ObservedLease()
         state_change("shard_lost", shard=state.row.shard, epoch=lease.epoch)
-        self._authority.tell(ShardDropped(state.row.shard))
+        self._authority.tell(ShardOwnershipEnded(state.row.shard))
         self._publish(state.row.shard, lease)
 
     async def _release_all(self) -> None:
--- a/marjoramgrade/messages/promises.py
+++ b/marjoramgrade/messages/promises.py
@@ -53,19 +53,19 @@
 
 
 @attrs.frozen
-class MayTakeShard(Message[bool]):
+class MayTakeOverShard(Message[bool]):
     """Asks whether the newcomer rule allows a takeover."""
 
     row: ShardRow
 
 
 @attrs.frozen
-class MemberReplaced(Message[None]):
+class PreviousIncarnationFound(Message[None]):
     """An earlier life of this instance was registered under the same id."""
 
 
 @attrs.frozen
-class ShardHeld(Message[None]):
+class ShardStandbysSet(Message[None]):
     """Tells whose promises can extend the ownership of a shard.
 
     Attributes:
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class ShardDropped(Message[None]):
+class ShardOwnershipEnded(Message[None]):
     """Tells that a shard is no longer owned."""
 
     shard: str
