--- a/marjoramgrade/adapters/peerlink.py
+++ b/marjoramgrade/adapters/peerlink.py
@@ -37,11 +37,11 @@
     ShuttingDownError,
 )
 from marjoramgrade.messages.peers import (
-    Inbound,
+    CallOverLink,
+    InboundMessage,
     Member,
-    PeerCall,
-    PeerLost,
-    PeerTell,
+    PeerDisconnected,
+    TellOverLink,
 )
 
 CONNECT_TIMEOUT_MS = 1_000
@@ -99,21 +99,21 @@
         if self._stream is not None:
             self._stream.close()
 
-    @handles(PeerCall)
-    async def _call(self, message: PeerCall) -> Any:
+    @handles(CallOverLink)
+    async def _call(self, message: CallOverLink) -> Any:
         return self.spawn(self._exchange(message))
 
-    @handles(PeerTell)
-    async def _tell(self, message: PeerTell) -> None:
+    @handles(TellOverLink)
+    async def _tell(self, message: TellOverLink) -> None:
         self.spawn(self._send_quietly(message))
 
-    async def _send_quietly(self, message: PeerTell) -> None:
+    async def _send_quietly(self, message: TellOverLink) -> None:
         try:
             write_frame(await self._connected(), PeerFrame(0, message.message))
         except (MarjoramgradeError, StreamClosedError, StreamBufferFullError):
             return
 
-    async def _exchange(self, call: PeerCall) -> Any:
+    async def _exchange(self, call: CallOverLink) -> Any:
         stream = await self._connected()
         self._correlation += 1
         number, frames_read = self._correlation, self._frames_read
@@ -199,8 +199,8 @@
     """Accepts the connections that other entry instances dial.
 
     Args:
-        receiver: The actor that handles `Inbound` messages.
-        watcher: Told with `PeerLost` of connections that end, or None.
+        receiver: The actor that handles `InboundMessage` messages.
+        watcher: Told with `PeerDisconnected` of connections that end, or None.
     """
 
     def __init__(self, receiver: Actor, watcher: Actor | None = None) -> None:
@@ -234,7 +234,7 @@
         finally:
             if self._watcher is not None:
                 with contextlib.suppress(ShuttingDownError):
-                    self._watcher.tell(PeerLost(peer_id))
+                    self._watcher.tell(PeerDisconnected(peer_id))
 
     async def close(self) -> None:
         """Stop accepting, let running calls end, and close every connection."""
@@ -250,7 +250,7 @@
 
     async def _serve(self, stream: IOStream, peer_id: str, frame: PeerFrame) -> None:
         try:
-            body = await self._receiver.ask(Inbound(peer_id, frame.body))
+            body = await self._receiver.ask(InboundMessage(peer_id, frame.body))
         except MarjoramgradeError as error:
             body = error
         if frame.correlation == 0 or stream.closed():
--- a/marjoramgrade/controllers/inbound.py
+++ b/marjoramgrade/controllers/inbound.py
@@ -9,7 +9,7 @@
 from marjoramgrade.errors import NotOwnerError, ProtocolError
 from marjoramgrade.messages.configuration import ConfigPushed
 from marjoramgrade.messages.jobs import GetTasks, JobAssigned
-from marjoramgrade.messages.peers import Inbound
+from marjoramgrade.messages.peers import InboundMessage
 from marjoramgrade.messages.promises import AcknowledgeNewcomer, Attest
 from marjoramgrade.messages.requests import RunRequest
 from marjoramgrade.messages.routing import DispatchSummary, InstanceSummary, TaskSummary
@@ -51,8 +51,8 @@
             GetTasks: scheduler_by_shard,
         }
 
-    @handles(Inbound)
-    async def _inbound(self, message: Inbound) -> Any:
+    @handles(InboundMessage)
+    async def _inbound(self, message: InboundMessage) -> Any:
         return self.spawn(self._find(message.message).ask(message.message))
 
     def _find(self, message: Message[Any]) -> Actor:
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -29,7 +29,7 @@
 from marjoramgrade.messages.peers import (
     Member,
     MembersChanged,
-    PeerLost,
+    PeerDisconnected,
     TellPeers,
 )
 from marjoramgrade.messages.rows import (
@@ -172,8 +172,8 @@
             self._heard_ms = 0
             self._wake.set()
 
-    @handles(PeerLost)
-    async def _peer_lost(self, message: PeerLost) -> None:
+    @handles(PeerDisconnected)
+    async def _peer_lost(self, message: PeerDisconnected) -> None:
         # An instance that is not in the list could not be called back.
         known = {member.instance_id for member in self._members}
         is_leader = message.instance_id == self._leader.leader_id
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -19,11 +19,11 @@
 from marjoramgrade.logs import state_change
 from marjoramgrade.messages.instances import InstancesChanged
 from marjoramgrade.messages.peers import (
+    CallOverLink,
     CallPeer,
     Member,
     MembersChanged,
-    PeerCall,
-    PeerTell,
+    TellOverLink,
     TellPeers,
 )
 from marjoramgrade.messages.promises import (
@@ -94,12 +94,12 @@
         link = self._link_by_id.get(message.instance_id)
         if link is None:
             raise OwnerUnreachableError(f"{message.instance_id} is not registered")
-        return self.spawn(link.ask(PeerCall(message.message, message.timeout_ms)))
+        return self.spawn(link.ask(CallOverLink(message.message, message.timeout_ms)))
 
     @handles(TellPeers)
     async def _tell(self, message: TellPeers) -> None:
         for link in self._link_by_id.values():
-            link.tell(PeerTell(message.message))
+            link.tell(TellOverLink(message.message))
 
     @handles(InstancesChanged)
     async def _instances_changed(self, message: InstancesChanged) -> None:
--- a/marjoramgrade/controllers/peers.py
+++ b/marjoramgrade/controllers/peers.py
@@ -15,11 +15,11 @@
     TableError,
 )
 from marjoramgrade.messages.peers import (
+    CallOverLink,
     CallPeer,
     Member,
     MembersChanged,
-    PeerCall,
-    PeerTell,
+    TellOverLink,
     TellPeers,
 )
 from marjoramgrade.messages.rows import (
@@ -84,12 +84,12 @@
         link = self._link_by_id.get(message.instance_id)
         if link is None:
             raise OwnerUnreachableError(f"{message.instance_id} is not known")
-        return self.spawn(link.ask(PeerCall(message.message, message.timeout_ms)))
+        return self.spawn(link.ask(CallOverLink(message.message, message.timeout_ms)))
 
     @handles(TellPeers)
     async def _tell(self, message: TellPeers) -> None:
         for link in self._link_by_id.values():
-            link.tell(PeerTell(message.message))
+            link.tell(TellOverLink(message.message))
 
     async def _run(self) -> None:
         looks = 0
--- a/marjoramgrade/controllers/stepinbound.py
+++ b/marjoramgrade/controllers/stepinbound.py
@@ -6,7 +6,7 @@
 
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.errors import ProtocolError
-from marjoramgrade.messages.peers import Inbound
+from marjoramgrade.messages.peers import InboundMessage
 from marjoramgrade.messages.rows import CommitRows, ReadRows, WatchRows
 from marjoramgrade.messages.steps import (
     AskLeaderAge,
@@ -49,8 +49,8 @@
             WatchRows: store,
         }
 
-    @handles(Inbound)
-    async def _inbound(self, message: Inbound) -> Any:
+    @handles(InboundMessage)
+    async def _inbound(self, message: InboundMessage) -> Any:
         controller = self._controller_by_type.get(type(message.message))
         if controller is None:
             raise ProtocolError(f"nothing answers {type(message.message).__name__}")
--- a/marjoramgrade/messages/peers.py
+++ b/marjoramgrade/messages/peers.py
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class PeerCall(Message[Any]):
+class CallOverLink(Message[Any]):
     """Asks the link to one peer to send a message and wait for the reply."""
 
     message: Message[Any]
@@ -62,21 +62,21 @@
 
 
 @attrs.frozen
-class PeerTell(Message[None]):
+class TellOverLink(Message[None]):
     """Asks the link to one peer to send a message, or drop it if it cannot."""
 
     message: Message[Any]
 
 
 @attrs.frozen
-class PeerLost(Message[None]):
+class PeerDisconnected(Message[None]):
     """A connection that another entry instance had dialled has ended."""
 
     instance_id: str
 
 
 @attrs.frozen
-class Inbound(Message[Any]):
+class InboundMessage(Message[Any]):
     """A message that arrived from another entry instance."""
 
     instance_id: str
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -14,7 +14,7 @@
     CallPeer,
     Member,
     MembersChanged,
-    PeerLost,
+    PeerDisconnected,
     TellPeers,
 )
 from marjoramgrade.messages.rows import CommitRows, ReadRows, RowsPage, RowWrite
@@ -365,7 +365,7 @@
             recorder.alive = alive
             leadership.tell(LeaderBeat(1, "b", 10))
             await asyncio.sleep(0.05)
-            leadership.tell(PeerLost("b"))
+            leadership.tell(PeerDisconnected("b"))
             await asyncio.sleep(0.25)
             return took(recorder, 2)
 
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -10,7 +10,12 @@
 import marjoramgrade.adapters.stepmessages  # noqa: F401 (registers encodings)
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.adapters.peerlink import PeerLink, PeerServer
-from marjoramgrade.messages.peers import Inbound, Member, PeerLost, PeerTell
+from marjoramgrade.messages.peers import (
+    InboundMessage,
+    Member,
+    PeerDisconnected,
+    TellOverLink,
+)
 from marjoramgrade.messages.steps import LeaderBeat
 
 
@@ -19,12 +24,12 @@
         super().__init__()
         self.heard = []
 
-    @handles(Inbound)
-    async def _inbound(self, message: Inbound) -> None:
+    @handles(InboundMessage)
+    async def _inbound(self, message: InboundMessage) -> None:
         self.heard.append(message.message)
 
-    @handles(PeerLost)
-    async def _lost(self, message: PeerLost) -> None:
+    @handles(PeerDisconnected)
+    async def _lost(self, message: PeerDisconnected) -> None:
         self.heard.append(message)
 
 
@@ -47,9 +52,9 @@
             server.add_socket(socket)
             stack.push_async_callback(server.close)
             await link.start()
-            link.tell(PeerTell(LeaderBeat(1, "b")))
+            link.tell(TellOverLink(LeaderBeat(1, "b")))
             await until(lambda: receiver.heard == [LeaderBeat(1, "b")])
             await link.stop()
-            await until(lambda: PeerLost("b") in receiver.heard)
+            await until(lambda: PeerDisconnected("b") in receiver.heard)
 
     asyncio.run(run())
