--- a/marjoramgrade/adapters/backend.py
+++ b/marjoramgrade/adapters/backend.py
@@ -18,7 +18,7 @@
     NotOwnerError,
     OutcomeUnknownError,
 )
-from marjoramgrade.messages.requests import FenceBackend, RunReply, RunRequest
+from marjoramgrade.messages.requests import BackendFenceReply, RunReply, RunRequest
 from marjoramgrade.model import Instance
 
 FENCE_TIMEOUT_MS = 2_000
@@ -81,7 +81,7 @@
             )
         return RunReply(answer.status, answer.body, backend.instance_id)
 
-    async def fence(self, backend: Instance, epoch: int) -> FenceBackend:
+    async def fence(self, backend: Instance, epoch: int) -> BackendFenceReply:
         """Raise the server's epoch and return the slots in use.
 
         Raises:
@@ -95,7 +95,7 @@
             if answer.status == HTTP_CONFLICT:
                 raise NotOwnerError(f"{backend.instance_id} has seen a newer epoch")
             document = json.loads(answer.body)
-            return FenceBackend(int(document["in_use"]), int(document["slots"]))
+            return BackendFenceReply(int(document["in_use"]), int(document["slots"]))
         except (
             HttpNotSentError,
             HttpNoAnswerError,
--- a/marjoramgrade/adapters/workerlink.py
+++ b/marjoramgrade/adapters/workerlink.py
@@ -20,13 +20,13 @@
 from marjoramgrade.messages.workers import (
     TaskEnd,
     TaskRun,
+    TasksEnded,
+    TasksRefused,
     TaskStart,
     WorkerBatch,
     WorkerConnected,
     WorkerDisconnected,
-    WorkerEnds,
     WorkerHeartbeat,
-    WorkerRefused,
 )
 from marjoramgrade.model import Instance, TaskId
 
@@ -118,10 +118,10 @@
             if body["type"] == "heartbeat":
                 return WorkerHeartbeat(self._shard, worker_id, int(body["seq"]))
             if body["type"] == "ends":
-                return WorkerEnds(self._shard, worker_id, _parse_ends(body["ends"]))
+                return TasksEnded(self._shard, worker_id, _parse_ends(body["ends"]))
             if body["type"] == "refused":
                 tasks = tuple(TaskId.parse(task) for task in body["tasks"])
-                return WorkerRefused(self._shard, worker_id, tasks, body["reason"])
+                return TasksRefused(self._shard, worker_id, tasks, body["reason"])
             if body["type"] == "inventory":
                 running = tuple(
                     TaskRun(TaskId.parse(entry["task"]), int(entry["attempt"]))
--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -30,9 +30,9 @@
 )
 from marjoramgrade.messages.configuration import ConfigConfirmed
 from marjoramgrade.messages.instances import InstancesChanged
-from marjoramgrade.messages.jobs import RecordRequest
+from marjoramgrade.messages.jobs import RecordRequestId
 from marjoramgrade.messages.ownership import DrainRequests, OwnershipChanged
-from marjoramgrade.messages.requests import FenceBackend, RunReply, RunRequest
+from marjoramgrade.messages.requests import BackendFenceReply, RunReply, RunRequest
 from marjoramgrade.messages.routing import DispatchSummary
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config, Instance, InstanceKind
@@ -55,7 +55,7 @@
         """Send a request and return the whole answer."""
         ...
 
-    async def fence(self, backend: Instance, epoch: int) -> FenceBackend:
+    async def fence(self, backend: Instance, epoch: int) -> BackendFenceReply:
         """Raise the server's epoch and return the slots in use."""
         ...
 
@@ -303,7 +303,7 @@
         """
         try:
             await self._record_writer.ask(
-                RecordRequest(request.team, request.request_id)
+                RecordRequestId(request.team, request.request_id)
             )
         except TableError as error:
             raise LedgerUnavailableError(error.message) from error
--- a/marjoramgrade/controllers/recordwriter.py
+++ b/marjoramgrade/controllers/recordwriter.py
@@ -13,7 +13,7 @@
     DuplicateRequestError,
     MarjoramgradeError,
 )
-from marjoramgrade.messages.jobs import RecordRequest, StoredJob, WriteJob
+from marjoramgrade.messages.jobs import RecordRequestId, StoredJob, WriteJob
 from marjoramgrade.store import (
     JOBS_PREFIX,
     RequestRecord,
@@ -93,8 +93,8 @@
     async def _write_job(self, message: WriteJob) -> Any:
         return self._append(message)
 
-    @handles(RecordRequest)
-    async def _record_request(self, message: RecordRequest) -> Any:
+    @handles(RecordRequestId)
+    async def _record_request(self, message: RecordRequestId) -> Any:
         return self._append(RequestRecord(message.team, message.request_id))
 
     def _append(self, record: WriteJob | RequestRecord) -> asyncio.Future[Any]:
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -28,12 +28,12 @@
 from marjoramgrade.messages.ownership import OwnershipChanged
 from marjoramgrade.messages.routing import TaskSummary
 from marjoramgrade.messages.workers import (
+    TasksEnded,
+    TasksRefused,
     WorkerBatch,
     WorkerConnected,
     WorkerDisconnected,
-    WorkerEnds,
     WorkerHeartbeat,
-    WorkerRefused,
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config, Instance, InstanceKind, Kind
@@ -236,15 +236,15 @@
         )
         self._send(message.worker_id, grant)
 
-    @handles(WorkerEnds)
-    async def _worker_ends(self, message: WorkerEnds) -> None:
+    @handles(TasksEnded)
+    async def _worker_ends(self, message: TasksEnded) -> None:
         if self._state is None:
             return
         for end in message.ends:
             self._state.task_ended(message.worker_id, end, self._clock.now_ms())
 
-    @handles(WorkerRefused)
-    async def _worker_refused(self, message: WorkerRefused) -> None:
+    @handles(TasksRefused)
+    async def _worker_refused(self, message: TasksRefused) -> None:
         self._metrics.retried(f"worker_refused_{message.reason}")
         if self._state is not None:
             self._state.requeue_refused_tasks(message, self._clock.now_ms())
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -26,9 +26,9 @@
 from marjoramgrade.messages.workers import (
     TaskEnd,
     TaskRun,
+    TasksRefused,
     TaskStart,
     WorkerConnected,
-    WorkerRefused,
 )
 from marjoramgrade.model import (
     Config,
@@ -318,7 +318,7 @@
         if self._worker_of(end.task) == worker_id:
             self._end(end.task, ending, now_ms)
 
-    def requeue_refused_tasks(self, message: WorkerRefused, now_ms: int) -> None:
+    def requeue_refused_tasks(self, message: TasksRefused, now_ms: int) -> None:
         """Queue tasks again that a worker did not start."""
         for task in message.tasks:
             if self._worker_of(task) == message.worker_id:
--- a/marjoramgrade/messages/jobs.py
+++ b/marjoramgrade/messages/jobs.py
@@ -95,7 +95,7 @@
 
 
 @attrs.frozen
-class RecordRequest(Message[None]):
+class RecordRequestId(Message[None]):
     """Asks the journal to record the id of a non-idempotent request."""
 
     team: str
--- a/marjoramgrade/messages/requests.py
+++ b/marjoramgrade/messages/requests.py
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class FenceBackend:
+class BackendFenceReply:
     """What a backend server answered to a new epoch."""
 
     in_use: int
--- a/marjoramgrade/messages/workers.py
+++ b/marjoramgrade/messages/workers.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class WorkerEnds(Message[None]):
+class TasksEnded(Message[None]):
     """Tasks ended on a worker."""
 
     shard: str
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class WorkerRefused(Message[None]):
+class TasksRefused(Message[None]):
     """A worker did not start some tasks; they have not run."""
 
     shard: str
