--- a/bench/cells.py
+++ b/bench/cells.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.decisions.workers import WorkerNode
-from marjoramgrade.model import Kind, Priority, TaskId, Team
+from marjoramgrade.model import JobKind, Priority, TaskId, Team
 from marjoramgrade.resources import Resources
 
 ZONES = 3
@@ -32,7 +32,7 @@
     gib: int
     run_ms: tuple[int, int]
     part: int
-    kind: Kind = Kind.BATCH
+    kind: JobKind = JobKind.BATCH
     members: int = 1
 
 
@@ -75,8 +75,8 @@
     pack = Shape(4 * unit, 4 * gib, (8_000, 30_000), 4)
     lean = Shape(6 * unit, 2 * gib, (5_000, 40_000), 2)
     wide = Shape(2 * unit, 8 * gib, (10_000, 40_000), 4)
-    watch = Shape(unit, 2 * gib, (60_000, 120_000), 1, Kind.SERVICE)
-    gang = Shape(3 * unit, 3 * gib, (10_000, 20_000), 1, Kind.GANG, 4)
+    watch = Shape(unit, 2 * gib, (60_000, 120_000), 1, JobKind.SERVICE)
+    gang = Shape(3 * unit, 3 * gib, (10_000, 20_000), 1, JobKind.GANG, 4)
     return {
         "collections": (CHECK, pack, watch),
         "reports": (wide, CHECK, gang),
@@ -149,7 +149,7 @@
 
     def _work(self, team: str, shape: Shape, priority: Priority, now_ms: int) -> Work:
         self._number += 1
-        is_gang = shape.kind is Kind.GANG
+        is_gang = shape.kind is JobKind.GANG
         entry = QueuedTask(
             TaskId(f"{team}-{self._number}", 0),
             team,
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -18,8 +18,8 @@
 from marjoramgrade.decisions.actions import EndStatus, StartTask, StopMode, StopTask
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import QueuedTask
-from marjoramgrade.model import Kind, TaskId
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.model import JobKind, TaskId
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.settings import Policies
 
 TICK_MS = 50
@@ -60,7 +60,7 @@
     schedulers: list[Scheduler] = attrs.field(init=False)
     waits_ms: list[int] = attrs.field(factory=list)
     urgent_waits_ms: list[int] = attrs.field(factory=list)
-    ended: Resources = NOTHING
+    ended: Resources = ZERO_RESOURCES
     cpu_s: float = 0.0
     starts: int = 0
     zones_out: set[int] = attrs.field(factory=set)
@@ -72,7 +72,7 @@
     _number: count[int] = attrs.field(factory=count)
 
     def __attrs_post_init__(self) -> None:
-        policies_by_kind = dict.fromkeys(Kind, self.policies)
+        policies_by_kind = dict.fromkeys(JobKind, self.policies)
         self.schedulers = []
         self.waiting_by_zone = [{} for _ in range(ZONES)]
         for zone in range(ZONES):
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -21,7 +21,7 @@
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.decisions.workers import WorkerNode
-from marjoramgrade.model import Kind, Priority, TaskId, Team
+from marjoramgrade.model import JobKind, Priority, TaskId, Team
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
@@ -63,7 +63,7 @@
     @classmethod
     def from_size(cls, workers: int, placement: str) -> Load:
         """Return a scheduler with workers, and with 6.5 tasks on each."""
-        policies = {kind: Policies(placement=placement) for kind in Kind}
+        policies = {kind: Policies(placement=placement) for kind in JobKind}
         load = cls(Scheduler.from_config(policies), Random(SEED))
         load.scheduler.set_teams([Team(f"t-{n}", 1 + n % 5) for n in range(TEAMS)])
         for number in range(workers):
@@ -91,7 +91,7 @@
         entry = QueuedTask(
             TaskId(f"j-{self._number // 10}", self._number % 10),
             f"t-{self.randomness.randrange(TEAMS)}",
-            Kind.SERVICE if is_service else Kind.BATCH,
+            JobKind.SERVICE if is_service else JobKind.BATCH,
             Priority.NORMAL,
             self.randomness.choice(SHAPES),
             self.now_ms,
--- a/marjoramgrade/controllers/grantmanager.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -22,7 +22,7 @@
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config, Team
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.store import Store, StoredGrants
 
 # One transaction a second for each holder, and sooner when work waits for grant.
@@ -46,16 +46,16 @@
         idle_since_ms: Since when the team has had more than it used.
     """
 
-    wanted: Resources = NOTHING
+    wanted: Resources = ZERO_RESOURCES
     step: int = 1
     idle_since_ms: int | None = None
 
     def pop_wanted_amount(self) -> Resources:
         """Return what to ask for now; the next refusal asks for more."""
         asked = self.wanted.scaled(self.step, 1)
-        is_refused = self.wanted != NOTHING
+        is_refused = self.wanted != ZERO_RESOURCES
         self.step = min(2 * self.step, MAX_DEMAND_MULTIPLIER) if is_refused else 1
-        self.wanted = NOTHING
+        self.wanted = ZERO_RESOURCES
         return asked
 
 
@@ -95,7 +95,7 @@
 
         A refusal is remembered, so that the next refresh asks for more.
         """
-        if self._limit_of(team) == NOTHING:
+        if self._limit_of(team) == ZERO_RESOURCES:
             return True
         self._book.set_reserved(team, in_use)
         if amount.fits(self._book.headroom(team)):
@@ -111,18 +111,18 @@
 
     def excess(self, team: str, in_use: Resources) -> Resources:
         """Return by how much a team is above a limit that was lowered."""
-        if self._limit_of(team) == NOTHING:
-            return NOTHING
+        if self._limit_of(team) == ZERO_RESOURCES:
+            return ZERO_RESOURCES
         self._book.set_reserved(team, in_use)
         row = self._book.row(team)
         is_claimed = row is not None and self._holder in row.epoch_by_shard
-        return self._book.excess(team) if is_claimed else NOTHING
+        return self._book.excess(team) if is_claimed else ZERO_RESOURCES
 
     def is_due(self, now_ms: int) -> bool:
         """Return whether `refresh` should run now."""
         if self._is_refreshing:
             return False
-        if any(d.wanted != NOTHING for d in self._demand_by_team.values()):
+        if any(d.wanted != ZERO_RESOURCES for d in self._demand_by_team.values()):
             return now_ms >= self._next_refresh_ms - REFRESH_INTERVAL_MS + (
                 UNMET_DEMAND_INTERVAL_MS
             )
@@ -152,7 +152,7 @@
 
     def _limit_of(self, team: str) -> Resources:
         known = self._config.teams_by_name.get(team)
-        return NOTHING if known is None else known.limit
+        return ZERO_RESOURCES if known is None else known.limit
 
     async def _read(self) -> None:
         page = await self._store.changed_grants(self._read_version)
@@ -184,14 +184,14 @@
         demand = self._demand_by_team.setdefault(name, _Demand())
         wanted = demand.pop_wanted_amount()
         if row is None:
-            return GrantsRow(name, team.limit) if team.limit != NOTHING else None
+            return GrantsRow(name, team.limit) if team.limit != ZERO_RESOURCES else None
         if self._book.is_pending(name):
             # Writing the row unchanged makes the earlier write fail for good.
             return row
         is_newer = self._config.version > self._config_version_by_team.get(name, 0)
         if is_newer and row.limit != team.limit:
             return grants.with_limit(row, team.limit)
-        if team.limit == NOTHING:
+        if team.limit == ZERO_RESOURCES:
             return None
         try:
             return self._next_step(name, demand, wanted, is_reconciled)
@@ -206,7 +206,7 @@
         if claimed is not None:
             return claimed
         lacking = self._book.wanted(name, wanted)
-        if lacking != NOTHING:
+        if lacking != ZERO_RESOURCES:
             demand.idle_since_ms = None
             return self._book.begin_allocate(name, lacking)
         if not is_reconciled:
@@ -215,7 +215,7 @@
 
     def _return_idle(self, name: str, demand: _Demand) -> GrantsRow | None:
         now_ms = self._clock.now_ms()
-        if positive_part(self._book.headroom(name)) == NOTHING:
+        if positive_part(self._book.headroom(name)) == ZERO_RESOURCES:
             demand.idle_since_ms = None
             return None
         if demand.idle_since_ms is None:
--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -50,7 +50,7 @@
 from marjoramgrade.steprows import (
     ROSTER_ROW,
     RosterRow,
-    progress_row,
+    progress_row_id,
     serialize_row,
 )
 
@@ -317,7 +317,7 @@
             return None
         writes = tuple(
             RowWrite(
-                progress_row(progress.job.job_id), serialize_row(progress.record())
+                progress_row_id(progress.job.job_id), serialize_row(progress.record())
             )
             for progress in changed
         )
--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -42,7 +42,7 @@
     TaskSummary,
 )
 from marjoramgrade.metrics import Metrics
-from marjoramgrade.model import Config, Kind
+from marjoramgrade.model import Config, JobKind
 
 # A summary that is older than this no longer attracts work.
 SUMMARY_LIFETIME_MS = 3_000
@@ -174,7 +174,7 @@
     async def _choose_shard(self, message: ChooseShard) -> str:
         """Choose the less loaded of two random shards that could hold the job."""
         spec = message.spec
-        count = spec.tasks if spec.kind is Kind.GANG else 1
+        count = spec.tasks if spec.kind is JobKind.GANG else 1
         fitting = [
             summary
             for summary in self._current(self._tasks_by_shard)
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -36,7 +36,7 @@
     WorkerHeartbeat,
 )
 from marjoramgrade.metrics import Metrics
-from marjoramgrade.model import Config, Instance, InstanceKind, Kind
+from marjoramgrade.model import Config, Instance, InstanceKind, JobKind
 from marjoramgrade.settings import Policies
 from marjoramgrade.store import Store, StoredRoster
 
@@ -87,7 +87,7 @@
         shard: str,
         instance_id: str,
         is_member: Callable[[Instance], bool],
-        policies_by_kind: Mapping[Kind, Policies],
+        policies_by_kind: Mapping[JobKind, Policies],
         store: Store,
         record_writer: Actor,
         make_link: MakeLink,
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -34,13 +34,13 @@
     Config,
     Instance,
     Job,
+    JobKind,
     JobSpec,
     JobState,
-    Kind,
     Outcome,
     TaskId,
 )
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.settings import Policies
 from marjoramgrade.store import StoredRoster
 
@@ -82,14 +82,14 @@
     sessions: WorkerSessions = attrs.field(factory=WorkerSessions)
     outcomes: PendingOutcomes = attrs.field(factory=PendingOutcomes)
     outboxes: Outboxes = attrs.field(factory=Outboxes)
-    _retry_by_kind: dict[Kind, RetryPolicy] = attrs.field(factory=dict)
+    _retry_by_kind: dict[JobKind, RetryPolicy] = attrs.field(factory=dict)
     _attempt_by_task: dict[TaskId, int] = attrs.field(factory=dict)
 
     @classmethod
     def from_rows(
         cls,
         fence: ShardFence,
-        policies_by_kind: Mapping[Kind, Policies],
+        policies_by_kind: Mapping[JobKind, Policies],
         grants: GrantManager,
         roster: StoredRoster,
         jobs: Iterable[StoredJob],
@@ -330,7 +330,7 @@
 
     def free_resources(self) -> Resources:
         """Return what is not reserved on any worker."""
-        total = NOTHING
+        total = ZERO_RESOURCES
         for _, free in self.scheduler.pool.iter_schedulable():
             total = total + free
         return total
@@ -379,7 +379,7 @@
 
 def _is_exhausted(spec: JobSpec, entry: QueuedTask) -> bool:
     """Return whether failed work is given up; a service runs until cancelled."""
-    if spec.kind is Kind.SERVICE:
+    if spec.kind is JobKind.SERVICE:
         return False
     attempts = TaskAttempts(entry.attempts)
     return attempts.exhausted_reason(spec.max_attempts) is not None
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -34,8 +34,8 @@
 from marjoramgrade.stepconfig import Queue
 from marjoramgrade.steprows import (
     JobRow,
-    job_row,
-    progress_row,
+    job_row_id,
+    progress_row_id,
     serialize_row,
 )
 
@@ -84,7 +84,7 @@
             raise OverloadedError("too many jobs are open")
         progress = lead.state.add_job(job, queue, self._clock.now_ms())
         write = RowWrite(
-            job_row(job.job_id), serialize_row(JobRow(job, progress.queue))
+            job_row_id(job.job_id), serialize_row(JobRow(job, progress.queue))
         )
         # Rows are written in the order in which they are asked for, so whatever is
         # planned from now on is stored after the job.
@@ -232,8 +232,8 @@
                 lead.state.remove_job(job_id)
                 self._save_rows(
                     lead,
-                    RowWrite(job_row(job_id), remove=True),
-                    RowWrite(progress_row(job_id), remove=True),
+                    RowWrite(job_row_id(job_id), remove=True),
+                    RowWrite(progress_row_id(job_id), remove=True),
                 )
 
 
--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -7,7 +7,7 @@
 from marjoramgrade.controllers.shardtasks import ShardTasks
 from marjoramgrade.decisions.tasks import queued_tasks_from
 from marjoramgrade.messages.jobs import StoredJob
-from marjoramgrade.model import Kind
+from marjoramgrade.model import JobKind
 
 # Batch tasks may end by themselves this long after their zone was taken out.
 DRAIN_GRACE_MS = 10_000
@@ -33,7 +33,7 @@
             self._since_ms = now_ms
         is_over = now_ms >= self._since_ms + DRAIN_GRACE_MS
         for job_id, stored in self.tasks.job_by_id.items():
-            if stored.job.spec.kind is Kind.SERVICE or is_over:
+            if stored.job.spec.kind is JobKind.SERVICE or is_over:
                 self._stop_job(job_id)
 
     def end(self) -> None:
--- a/marjoramgrade/decisions/admission.py
+++ b/marjoramgrade/decisions/admission.py
@@ -7,8 +7,8 @@
 from marjoramgrade.decisions.gangs import members_that_fit
 from marjoramgrade.decisions.workers import WorkerNode
 from marjoramgrade.errors import InvalidInputError, OverLimitError, UnsatisfiableError
-from marjoramgrade.model import JobSpec, Kind, Team
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.model import JobKind, JobSpec, Team
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 # The outcomes of a job are one row of the table, with one character for each task.
 MAX_TASKS = 100_000
@@ -44,7 +44,7 @@
             f"no worker of the cell could hold a task of {_text(spec.resources)}",
             reason="task_too_large",
         )
-    if spec.kind is Kind.GANG:
+    if spec.kind is JobKind.GANG:
         _check_gang(spec, workers_by_shard)
 
 
@@ -61,7 +61,7 @@
         )
     if spec.run_ms < 0:
         raise InvalidInputError("run_ms must not be negative", reason="bad_run_time")
-    if not NOTHING.fits(spec.resources) or spec.resources == NOTHING:
+    if not ZERO_RESOURCES.fits(spec.resources) or spec.resources == ZERO_RESOURCES:
         raise InvalidInputError(
             "resources must not be negative, and one must be positive",
             reason="bad_resources",
@@ -70,7 +70,7 @@
 
 def _check_team(spec: JobSpec, team: Team) -> None:
     """Check what starts together against the limit, and the count against the bound."""
-    together = spec.tasks if spec.kind is Kind.GANG else 1
+    together = spec.tasks if spec.kind is JobKind.GANG else 1
     need = spec.resources.scaled(together, 1)
     limit = team.limit
     # A zero amount means no limit on that resource.
--- a/marjoramgrade/decisions/excess.py
+++ b/marjoramgrade/decisions/excess.py
@@ -6,10 +6,10 @@
 
 from marjoramgrade.decisions.grants import positive_part
 from marjoramgrade.decisions.running import RunningTasks
-from marjoramgrade.model import Kind, Priority, TaskId
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.model import JobKind, Priority, TaskId
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
-STOP_ORDER = (Kind.BATCH, Kind.GANG, Kind.SERVICE)
+STOP_ORDER = (JobKind.BATCH, JobKind.GANG, JobKind.SERVICE)
 
 
 def choose_excess_tasks(
@@ -25,7 +25,7 @@
     chosen: list[TaskId] = []
     for kind, priority in itertools.product(STOP_ORDER, Priority):
         for task in running.iter_newest(team, kind, priority):
-            if positive_part(excess) == NOTHING:
+            if positive_part(excess) == ZERO_RESOURCES:
                 return chosen
             chosen.append(task.task)
             excess = excess - task.resources
--- a/marjoramgrade/decisions/free_index.py
+++ b/marjoramgrade/decisions/free_index.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 # A block is split at this length; the cost of a search is the number of blocks
 # plus the length of one block, which balances at the root of 2,000 workers.
@@ -41,7 +41,7 @@
     """A run of entries in order, with the largest amount of each resource."""
 
     entries: list[Entry]
-    largest: Resources = NOTHING
+    largest: Resources = ZERO_RESOURCES
     is_stale: bool = True
 
     def may_hold(self, request: Resources) -> bool:
--- a/marjoramgrade/decisions/grants.py
+++ b/marjoramgrade/decisions/grants.py
@@ -11,7 +11,7 @@
 import attrs
 
 from marjoramgrade.errors import NotOwnerError
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 # Stands for an amount that no limit bounds.
 UNLIMITED = 1 << 62
@@ -31,12 +31,12 @@
 
 def positive_part(amount: Resources) -> Resources:
     """Return the amounts with zero in place of negative ones."""
-    return combine(max, amount, NOTHING)
+    return combine(max, amount, ZERO_RESOURCES)
 
 
 def bounds_of(limit: Resources) -> Resources:
     """Return a team's limit with `UNLIMITED` in place of zero."""
-    return combine(lambda amount, _: amount or UNLIMITED, limit, NOTHING)
+    return combine(lambda amount, _: amount or UNLIMITED, limit, ZERO_RESOURCES)
 
 
 def limited_part(amount: Resources, limit: Resources) -> Resources:
@@ -45,7 +45,7 @@
 
 
 def _total(amounts: Iterable[Resources]) -> Resources:
-    return sum(amounts, NOTHING)
+    return sum(amounts, ZERO_RESOURCES)
 
 
 @attrs.frozen
@@ -64,18 +64,18 @@
     """
 
     team: str
-    limit: Resources = NOTHING
+    limit: Resources = ZERO_RESOURCES
     amount_by_shard: Mapping[str, Resources] = attrs.field(factory=dict)
     unconfirmed_by_shard: Mapping[str, Resources] = attrs.field(factory=dict)
     epoch_by_shard: Mapping[str, int] = attrs.field(factory=dict)
 
     def amount(self, shard: str) -> Resources:
         """Return what a shard may use."""
-        return self.amount_by_shard.get(shard, NOTHING)
+        return self.amount_by_shard.get(shard, ZERO_RESOURCES)
 
     def held(self, shard: str) -> Resources:
         """Return what the owner of a shard may believe that it may use."""
-        unconfirmed = self.unconfirmed_by_shard.get(shard, NOTHING)
+        unconfirmed = self.unconfirmed_by_shard.get(shard, ZERO_RESOURCES)
         return combine(max, self.amount(shard), unconfirmed)
 
     @property
@@ -93,7 +93,7 @@
     the rest is taken by the shards that need it.
     """
     names = sorted(shards)
-    part = limit.scaled(1, 2 * len(names)) if names else NOTHING
+    part = limit.scaled(1, 2 * len(names)) if names else ZERO_RESOURCES
     return GrantsRow(team, limit, dict.fromkeys(names, part))
 
 
@@ -104,7 +104,7 @@
         NotOwnerError: If a later owner has claimed the grant.
     """
     _check_epoch(row, shard, epoch)
-    amounts = {shard: NOTHING, **row.amount_by_shard}
+    amounts = {shard: ZERO_RESOURCES, **row.amount_by_shard}
     epochs = {**row.epoch_by_shard, shard: epoch}
     return attrs.evolve(row, amount_by_shard=amounts, epoch_by_shard=epochs)
 
@@ -161,7 +161,7 @@
             amounts[shard] = _choose(row.limit, shrunk, even)
     unconfirmed = {}
     for shard in shards:
-        before = _choose(row.limit, row.held(shard), bounds_of(NOTHING))
+        before = _choose(row.limit, row.held(shard), bounds_of(ZERO_RESOURCES))
         before = limited_part(before, limit)
         if not before.fits(amounts[shard]):
             unconfirmed[shard] = before
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -13,7 +13,7 @@
     limited_part,
     positive_part,
 )
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 def choose_donor(
@@ -52,8 +52,8 @@
 
     row: GrantsRow
     version: int
-    reserved: Resources = NOTHING
-    returning: Resources = NOTHING
+    reserved: Resources = ZERO_RESOURCES
+    returning: Resources = ZERO_RESOURCES
     is_pending: bool = False
 
     def usable(self, shard: str) -> Resources:
@@ -91,12 +91,12 @@
         """
         known = self._grant_by_team.get(row.team)
         if known is None:
-            running = self._running_by_team.pop(row.team, NOTHING)
+            running = self._running_by_team.pop(row.team, ZERO_RESOURCES)
             self._grant_by_team[row.team] = TeamGrant(row, version, running)
         elif version > known.version:
             known.row = row
             known.version = version
-            known.returning = NOTHING
+            known.returning = ZERO_RESOURCES
             known.is_pending = False
 
     def version(self, team: str) -> int:
@@ -120,7 +120,7 @@
         if grant is not None:
             grant.reserved += amount
         else:
-            running = self._running_by_team.get(team, NOTHING)
+            running = self._running_by_team.get(team, ZERO_RESOURCES)
             self._running_by_team[team] = running + amount
 
     def release(self, team: str, amount: Resources) -> None:
@@ -130,7 +130,7 @@
             ValueError: If more is released than was reserved.
         """
         grant = self._grant_by_team.get(team)
-        before = self._running_by_team.get(team, NOTHING)
+        before = self._running_by_team.get(team, ZERO_RESOURCES)
         if grant is not None:
             before = grant.reserved
         if not amount.fits(before):
@@ -162,7 +162,7 @@
         """Return what the team may still start here."""
         grant = self._grant_by_team.get(team)
         if grant is None or not self._is_claimed(grant):
-            return NOTHING
+            return ZERO_RESOURCES
         return positive_part(grant.usable(self.shard) - grant.reserved)
 
     def wanted(self, team: str, demand: Resources) -> Resources:
@@ -174,7 +174,7 @@
         """
         grant = self._grant_by_team.get(team)
         if grant is None:
-            return NOTHING
+            return ZERO_RESOURCES
         lacking = grant.reserved + demand - grant.usable(self.shard)
         return limited_part(positive_part(lacking), grant.row.limit)
 
@@ -183,7 +183,7 @@
 
         The newest tasks of the team are stopped until nothing is left.
         """
-        return self.wanted(team, NOTHING)
+        return self.wanted(team, ZERO_RESOURCES)
 
     def begin_claim(self, team: str) -> GrantsRow | None:
         """Return the row that claims the grant for this owner, or None."""
@@ -219,7 +219,7 @@
             return None
         unused = combine(min, positive_part(amount), self.headroom(team))
         unused = limited_part(unused, grant.row.limit)
-        if unused == NOTHING:
+        if unused == ZERO_RESOURCES:
             return None
         grant.returning = unused
         row = grants.return_unused(grant.row, self.shard, self.epoch, unused)
@@ -238,7 +238,7 @@
         if grant is None or not self._is_claimed(grant):
             return None
         is_asked = self.shard in grant.row.unconfirmed_by_shard
-        if not is_asked or self.excess(team) != NOTHING:
+        if not is_asked or self.excess(team) != ZERO_RESOURCES:
             return None
         return self._begin(grant, grants.confirm(grant.row, self.shard, self.epoch))
 
@@ -246,7 +246,7 @@
         """Take note that the pending write certainly did not leave."""
         grant = self._grant_by_team.get(team)
         if grant is not None:
-            grant.returning = NOTHING
+            grant.returning = ZERO_RESOURCES
             grant.is_pending = False
 
     def _idle_grant(self, team: str) -> TeamGrant | None:
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -12,13 +12,13 @@
 from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
-from marjoramgrade.model import Kind, Priority
+from marjoramgrade.model import JobKind, Priority
 from marjoramgrade.registry import Registry
 from marjoramgrade.resources import Resources
 
 # Stopping one member of a gang stops the whole gang, and a service has callers,
 # so both come after batch work.
-VICTIM_ORDER = (Kind.BATCH, Kind.GANG, Kind.SERVICE)
+VICTIM_ORDER = (JobKind.BATCH, JobKind.GANG, JobKind.SERVICE)
 
 
 @attrs.frozen
--- a/marjoramgrade/decisions/queue_orders.py
+++ b/marjoramgrade/decisions/queue_orders.py
@@ -11,11 +11,11 @@
 
 from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask
-from marjoramgrade.model import Kind
+from marjoramgrade.model import JobKind
 from marjoramgrade.registry import Registry
 from marjoramgrade.resources import Resources
 
-ShapeKey = tuple[Kind, Resources, int, bool]
+ShapeKey = tuple[JobKind, Resources, int, bool]
 
 
 @attrs.define(eq=False)
--- a/marjoramgrade/decisions/running.py
+++ b/marjoramgrade/decisions/running.py
@@ -8,8 +8,8 @@
 import attrs
 
 from marjoramgrade.decisions.tasks import RunningTask
-from marjoramgrade.model import Kind, Priority, TaskId
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.model import JobKind, Priority, TaskId
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 @attrs.frozen
@@ -27,7 +27,7 @@
 
 K = TypeVar("K")
 T = TypeVar("T")
-GroupKey = tuple[str, Kind, Priority]
+GroupKey = tuple[str, JobKind, Priority]
 
 
 class RunningTasks:
@@ -53,7 +53,7 @@
         self._tasks_by_job.setdefault(task.job_id, {})[task.index] = running
         self._tasks_by_worker.setdefault(running.worker_id, {})[task] = running
         self._tasks_by_group.setdefault(_group_of(running), {})[task] = running
-        if running.kind is Kind.SERVICE:
+        if running.kind is JobKind.SERVICE:
             _change(self._services_by_worker, running, 1)
         self._length += 1
 
@@ -63,7 +63,7 @@
         _pop(self._tasks_by_job, task.job_id, task.index)
         _pop(self._tasks_by_worker, running.worker_id, task)
         _pop(self._tasks_by_group, _group_of(running), task)
-        if running.kind is Kind.SERVICE:
+        if running.kind is JobKind.SERVICE:
             _change(self._services_by_worker, running, -1)
         self._length -= 1
         stopping = self._stopping_by_task.pop(task, None)
@@ -103,7 +103,7 @@
         return {team for team, _, _ in self._tasks_by_group}
 
     def iter_newest(
-        self, team: str, kind: Kind, priority: Priority
+        self, team: str, kind: JobKind, priority: Priority
     ) -> Iterator[RunningTask]:
         """Yield the tasks of a group that were not told to end, newest first."""
         group = self._tasks_by_group.get((team, kind, priority), {})
@@ -113,16 +113,16 @@
 
     def stopping_resources_on(self, worker_id: str) -> Resources:
         """Return what the tasks that were told to end will free on a worker."""
-        return self._stopping_by_worker.get(worker_id, NOTHING)
+        return self._stopping_by_worker.get(worker_id, ZERO_RESOURCES)
 
     def service_resources_on(self, worker_id: str) -> Resources:
         """Return what services use on a worker; they do not end by themselves."""
-        return self._services_by_worker.get(worker_id, NOTHING)
+        return self._services_by_worker.get(worker_id, ZERO_RESOURCES)
 
 
 def sum_of(tasks: Iterable[RunningTask]) -> Resources:
     """Return what some running tasks use together."""
-    total = NOTHING
+    total = ZERO_RESOURCES
     for running in tasks:
         total = total + running.resources
     return total
@@ -140,12 +140,12 @@
 
 
 def _change(book: dict[str, Resources], running: RunningTask, sign: int) -> None:
-    amount = book.get(running.worker_id, NOTHING)
+    amount = book.get(running.worker_id, ZERO_RESOURCES)
     if sign > 0:
         book[running.worker_id] = amount + running.resources
         return
     rest = amount - running.resources
-    if rest == NOTHING:
+    if rest == ZERO_RESOURCES:
         book.pop(running.worker_id, None)
     else:
         book[running.worker_id] = rest
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -25,7 +25,7 @@
 from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
 from marjoramgrade.decisions.workers import WorkerNode, WorkerPool
-from marjoramgrade.model import Kind, TaskId, Team
+from marjoramgrade.model import JobKind, TaskId, Team
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
@@ -59,7 +59,7 @@
     @classmethod
     def from_config(
         cls,
-        policies_by_kind: Mapping[Kind, Policies],
+        policies_by_kind: Mapping[JobKind, Policies],
         may_start: MayStart = _always,
     ) -> Scheduler:
         """Return a scheduler with the policies that settings name.
@@ -234,7 +234,7 @@
         if entry is not None:
             self._state.queue_of(entry).cancel(running.task)
         self._state.add_running(running)
-        if running.kind is Kind.GANG:
+        if running.kind is JobKind.GANG:
             self._state.gangs.record_adoption(running, entry.members if entry else ())
 
     def task_ended(
@@ -257,7 +257,7 @@
         is_dropped = stopping is not None and not stopping.is_requeued
         must_restart = ending is not EndStatus.DONE and not is_dropped
         has_failed = ending is EndStatus.FAILED and stopping is None
-        if running.kind is Kind.GANG:
+        if running.kind is JobKind.GANG:
             return self._member_ended(running, must_restart, has_failed, now_ms)
         if not must_restart:
             return None
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -18,7 +18,7 @@
 from marjoramgrade.decisions.shares import TeamShares
 from marjoramgrade.decisions.tasks import QueuedTask, RunningTask
 from marjoramgrade.decisions.workers import WorkerPool
-from marjoramgrade.model import Kind, TaskId
+from marjoramgrade.model import JobKind, TaskId
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, policies_by_kind: Mapping[Kind, Policies], may_start: MayStart
+        self, policies_by_kind: Mapping[JobKind, Policies], may_start: MayStart
     ) -> None:
         self.pool = WorkerPool()
         self.shares = TeamShares()
@@ -122,7 +122,7 @@
         self.requeue_reason_by_task.pop(running.task, None)
         self.running.add(running)
         self.shares.charge(running.team, running.resources)
-        if running.kind is Kind.GANG:
+        if running.kind is JobKind.GANG:
             self.gangs.record_start(running)
 
     def remove_running(self, running: RunningTask) -> StopRequest | None:
--- a/marjoramgrade/decisions/shares.py
+++ b/marjoramgrade/decisions/shares.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 RESOURCE_FIELDS = ("cpu_millis", "memory_mib", "accelerators", "slots")
 
@@ -70,7 +70,7 @@
     """What each team uses in one shard, as a weighted dominant share."""
 
     def __init__(self) -> None:
-        self._total = NOTHING
+        self._total = ZERO_RESOURCES
         self._weight_by_team: dict[str, int] = {}
         self._use_by_team: dict[str, Resources] = {}
         # Kept with each change of use, so that a choice compares plain numbers.
@@ -100,7 +100,7 @@
 
     def usage_of(self, team: str) -> Resources:
         """Return what a team uses."""
-        return self._use_by_team.get(team, NOTHING)
+        return self._use_by_team.get(team, ZERO_RESOURCES)
 
     def weighted_share_of(self, team: str) -> float:
         """Return the dominant share of a team divided by its weight."""
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -12,7 +12,7 @@
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.decisions.teamusage import is_within
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 # An urgent step waits this long for room that becomes free by itself.
 PREEMPTION_DELAY_MS = 60
@@ -46,9 +46,9 @@
             return
         runs = self._runs_of(team)
         waiting = sum(1 for _ in step.iter_waiting())
-        used = self.state.usage.used_by_team.get(team, NOTHING)
+        used = self.state.usage.used_by_team.get(team, ZERO_RESOURCES)
         missing = used + step.step.resources.scaled(waiting, 1)
-        missing = missing - self._leaving_by_team.get(team, NOTHING)
+        missing = missing - self._leaving_by_team.get(team, ZERO_RESOURCES)
         claim = (team, step.job.queue.priority)
         if claim not in self._victims_by_claim:
             self._victims_by_claim[claim] = self._victims(step, runs, now_ms)
@@ -142,7 +142,7 @@
 
     def _note_leaving(self, run: Run) -> None:
         team = run.step.job.job.team
-        leaving = self._leaving_by_team.get(team, NOTHING)
+        leaving = self._leaving_by_team.get(team, ZERO_RESOURCES)
         self._leaving_by_team[team] = leaving + run.step.step.resources
 
     def _stop(self, run: Run, reason: str) -> None:
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -5,7 +5,7 @@
 import attrs
 
 from marjoramgrade.decisions.steprun import Run
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.stepjobs import RunReport, StepWorker, TaskRef
 
 # Failures on different jobs in a row after which a worker is suspect: one task in
@@ -103,8 +103,8 @@
     run_by_task: dict[tuple[TaskRef, int], Run] = attrs.field(factory=dict)
     orphan_by_task: dict[tuple[TaskRef, int], RunReport] = attrs.field(factory=dict)
     has_unanswered_call: bool = False
-    used: Resources = NOTHING
-    spare_used: Resources = NOTHING
+    used: Resources = ZERO_RESOURCES
+    spare_used: Resources = ZERO_RESOURCES
     last_end_number: int = 0
     unresponsive_since_ms: int = 0
 
@@ -153,7 +153,7 @@
 
     def _change(self, run: Run, sign: int) -> None:
         step = run.step.step
-        amount = step.resources if sign > 0 else NOTHING - step.resources
+        amount = step.resources if sign > 0 else ZERO_RESOURCES - step.resources
         if step.uses_spare:
             self.spare_used = self.spare_used + amount
         else:
--- a/marjoramgrade/decisions/tasks.py
+++ b/marjoramgrade/decisions/tasks.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramgrade.model import Job, Kind, Outcome, Priority, TaskId
+from marjoramgrade.model import Job, JobKind, Outcome, Priority, TaskId
 from marjoramgrade.resources import Resources
 
 
@@ -30,7 +30,7 @@
 
     task: TaskId
     team: str
-    kind: Kind
+    kind: JobKind
     priority: Priority
     resources: Resources
     queued_ms: int
@@ -67,7 +67,7 @@
 
     task: TaskId
     team: str
-    kind: Kind
+    kind: JobKind
     priority: Priority
     resources: Resources
     worker_id: str
@@ -121,7 +121,7 @@
     )
     if not open_indices:
         return []
-    if spec.kind is Kind.GANG:
+    if spec.kind is JobKind.GANG:
         return [_entry_from(job, open_indices[0], now_ms, open_indices)]
     return [_entry_from(job, index, now_ms, ()) for index in open_indices]
 
--- a/marjoramgrade/decisions/teamusage.py
+++ b/marjoramgrade/decisions/teamusage.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.stepconfig import TeamPolicy
 
 # Jobs of a team that count towards its weight are counted over this time.
@@ -26,11 +26,11 @@
 
     def add(self, team: str, amount: Resources) -> None:
         """Count a run."""
-        self.used_by_team[team] = self.used_by_team.get(team, NOTHING) + amount
+        self.used_by_team[team] = self.used_by_team.get(team, ZERO_RESOURCES) + amount
 
     def remove(self, team: str, amount: Resources) -> None:
         """Stop counting a run."""
-        self.used_by_team[team] = self.used_by_team.get(team, NOTHING) - amount
+        self.used_by_team[team] = self.used_by_team.get(team, ZERO_RESOURCES) - amount
 
     def has_capacity(
         self, team: str, amount: Resources, policies: Mapping[str, TeamPolicy]
@@ -39,7 +39,7 @@
         policy = policies.get(team)
         if policy is None:
             return True
-        total = self.used_by_team.get(team, NOTHING) + amount
+        total = self.used_by_team.get(team, ZERO_RESOURCES) + amount
         return is_within(total, policy.limit)
 
     def is_beyond_weight(self, policy: TeamPolicy | None, now_ms: int) -> bool:
--- a/marjoramgrade/decisions/versions.py
+++ b/marjoramgrade/decisions/versions.py
@@ -94,7 +94,7 @@
     """
     if name not in resources_of(config, kind):
         return 0
-    return config.base_by_path.get(f"{kind}.{name}", 0) + 1
+    return config.base_version_by_path.get(f"{kind}.{name}", 0) + 1
 
 
 def is_applied(config: Config, change: Change) -> bool:
@@ -144,7 +144,7 @@
 
 
 def _check_base(config: Config, change: Change, is_present: bool) -> None:
-    base = config.base_by_path.get(change.path)
+    base = config.base_version_by_path.get(change.path)
     if change.base_version == 0:
         is_current = not is_present
     elif base is not None:
@@ -168,7 +168,7 @@
 
 
 def _with_history(config: Config, change: Change) -> Config:
-    bases = dict(config.base_by_path)
+    bases = dict(config.base_version_by_path)
     bases[change.path] = config.version
     present = {
         f"{kind}.{name}"
@@ -184,7 +184,7 @@
     write_ids = (*config.recent_write_ids, change.write_id)[-MAX_RECENT_WRITE_IDS:]
     return attrs.evolve(
         config,
-        base_by_path=bases,
+        base_version_by_path=bases,
         horizon_version=horizon,
         recent_write_ids=write_ids,
     )
--- a/marjoramgrade/decisions/workers.py
+++ b/marjoramgrade/decisions/workers.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.decisions.free_index import FreeIndex
 from marjoramgrade.errors import MarjoramgradeError, NotFoundError
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 class OvercommitError(MarjoramgradeError):
@@ -38,8 +38,8 @@
 
     node: WorkerNode
     free: Resources
-    held: Resources = NOTHING
-    yielding: Resources = NOTHING
+    held: Resources = ZERO_RESOURCES
+    yielding: Resources = ZERO_RESOURCES
     is_draining: bool = False
     # The amount under which the worker is in the index, or None.
     indexed: Resources | None = None
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self._room_by_id: dict[str, _Room] = {}
         self._index = FreeIndex()
-        self._total = NOTHING
+        self._total = ZERO_RESOURCES
 
     def __len__(self) -> int:
         return len(self._room_by_id)
@@ -77,7 +77,7 @@
                 new capacity.
         """
         known = self._room_by_id.get(node.worker_id)
-        used = known.node.capacity - known.free if known else NOTHING
+        used = known.node.capacity - known.free if known else ZERO_RESOURCES
         if not used.fits(node.capacity):
             raise OvercommitError(
                 f"{node.worker_id} has more reserved than its new capacity"
--- a/marjoramgrade/documents.py
+++ b/marjoramgrade/documents.py
@@ -20,9 +20,9 @@
     Instance,
     InstanceKind,
     Job,
+    JobKind,
     JobSpec,
     Key,
-    Kind,
     Outcome,
     Priority,
     Service,
@@ -149,7 +149,7 @@
 }
 
 converter = structuring.make_converter()
-for _kind in (Kind, ZoneState, InstanceKind):
+for _kind in (JobKind, ZoneState, InstanceKind):
     converter.register_structure_hook(_kind, choice(_kind))
 converter.register_structure_hook(Priority, _priority)
 converter.register_unstructure_hook(Priority, lambda priority: priority.name.lower())
@@ -278,7 +278,7 @@
         zones_by_name=_by_name("zones", parsed.zones),
         services_by_name=_by_name("services", parsed.services),
         recent_write_ids=tuple(parsed.recent_write_ids),
-        base_by_path={entry.path: entry.version for entry in parsed.bases},
+        base_version_by_path={entry.path: entry.version for entry in parsed.bases},
         horizon_version=parsed.horizon_version,
     )
 
@@ -353,7 +353,7 @@
         "recent_write_ids": list(config.recent_write_ids),
         "bases": [
             {"path": path, "version": version}
-            for path, version in sorted(config.base_by_path.items())
+            for path, version in sorted(config.base_version_by_path.items())
         ],
         "horizon_version": config.horizon_version,
     }
--- a/marjoramgrade/messages/routing.py
+++ b/marjoramgrade/messages/routing.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade.actor import Message
 from marjoramgrade.model import JobSpec
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 @attrs.frozen
@@ -38,8 +38,8 @@
     shard: str
     owner: str
     epoch: int
-    total: Resources = NOTHING
-    free: Resources = NOTHING
+    total: Resources = ZERO_RESOURCES
+    free: Resources = ZERO_RESOURCES
     queued: int = 0
 
 
--- a/marjoramgrade/model.py
+++ b/marjoramgrade/model.py
@@ -9,10 +9,10 @@
 
 import attrs
 
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
-class Kind(enum.Enum):
+class JobKind(enum.Enum):
     """The kinds of work that run as tasks on workers."""
 
     SERVICE = "service"
@@ -77,7 +77,7 @@
     """
 
     team: str
-    kind: Kind
+    kind: JobKind
     tasks: int = 1
     resources: Resources = Resources(cpu_millis=1000)
     run_ms: int = 0
@@ -167,7 +167,7 @@
 
     name: str
     share: int = 1
-    limit: Resources = NOTHING
+    limit: Resources = ZERO_RESOURCES
     queue_bound: int = 100_000
 
 
@@ -223,10 +223,10 @@
     Attributes:
         version: Raised by one with every change; zero before the first.
         recent_write_ids: Ids of the latest accepted changes, newest last.
-        base_by_path: For each changed or deleted resource (`teams.acme`), the
+        base_version_by_path: For each changed or deleted resource (`teams.acme`), the
             version of the document that its latest change was based on.
         horizon_version: Deletions based on this version or an earlier one may be
-            missing from `base_by_path`.
+            missing from `base_version_by_path`.
     """
 
     version: int = 0
@@ -235,7 +235,7 @@
     zones_by_name: Mapping[str, Zone] = attrs.field(factory=dict)
     services_by_name: Mapping[str, Service] = attrs.field(factory=dict)
     recent_write_ids: tuple[str, ...] = ()
-    base_by_path: Mapping[str, int] = attrs.field(factory=dict)
+    base_version_by_path: Mapping[str, int] = attrs.field(factory=dict)
     horizon_version: int = -1
 
     def find_key(self, secret: str) -> Key | None:
@@ -275,5 +275,5 @@
     port: int
     rack: str = ""
     leaving: bool = False
-    capacity: Resources = NOTHING
+    capacity: Resources = ZERO_RESOURCES
     service: str = ""
--- a/marjoramgrade/resources.py
+++ b/marjoramgrade/resources.py
@@ -66,4 +66,4 @@
         return max((used / whole for used, whole in pairs if whole), default=0.0)
 
 
-NOTHING = Resources()
+ZERO_RESOURCES = Resources()
--- a/marjoramgrade/settings.py
+++ b/marjoramgrade/settings.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramgrade.model import Kind
+from marjoramgrade.model import JobKind
 
 DEFAULT_FILTERS = (
     "identify",
@@ -29,8 +29,8 @@
     retry: str = "task_backoff"
 
 
-def _default_policies() -> Mapping[Kind, Policies]:
-    return {kind: Policies() for kind in Kind}
+def _default_policies() -> Mapping[JobKind, Policies]:
+    return {kind: Policies() for kind in JobKind}
 
 
 @attrs.frozen
@@ -73,4 +73,6 @@
     ended_job_retention_ms: int = 86_400_000
     shutdown_ms: int = 30_000
     filters: tuple[str, ...] = DEFAULT_FILTERS
-    policies_by_kind: Mapping[Kind, Policies] = attrs.field(factory=_default_policies)
+    policies_by_kind: Mapping[JobKind, Policies] = attrs.field(
+        factory=_default_policies
+    )
--- a/marjoramgrade/settingsfile.py
+++ b/marjoramgrade/settingsfile.py
@@ -11,7 +11,7 @@
 
 from marjoramgrade import jsontext, structuring
 from marjoramgrade.errors import InvalidInputError, SettingsError, SettingsProblem
-from marjoramgrade.model import Kind
+from marjoramgrade.model import JobKind
 from marjoramgrade.registry import Registry
 from marjoramgrade.settings import EntrySettings, Policies
 from marjoramgrade.structuring import (
@@ -102,7 +102,7 @@
 def make_settings_converter(names: KnownNames) -> Converter:
     """Return a strict converter for `Policies` and `EntrySettings`."""
     converter = structuring.make_converter()
-    converter.register_structure_hook(Kind, choice(Kind))
+    converter.register_structure_hook(JobKind, choice(JobKind))
     known = names.policies_by_field
     register_class(
         converter, Policies, {field: one_of(known[field]) for field in known}
@@ -132,11 +132,11 @@
 def policies_hook(converter: Converter) -> StructHook:
     """Return a hook that gives kinds of work left out their default policies."""
 
-    def check(value: Any, _: Any = None) -> Mapping[Kind, Policies]:
+    def check(value: Any, _: Any = None) -> Mapping[JobKind, Policies]:
         if type(value) is not dict:
             raise InvalidValueError("must be an object")
-        given = converter.structure(value, dict[Kind, Policies])
-        return {kind: given.get(kind, Policies()) for kind in Kind}
+        given = converter.structure(value, dict[JobKind, Policies])
+        return {kind: given.get(kind, Policies()) for kind in JobKind}
 
     return check
 
--- a/marjoramgrade/stepconfig.py
+++ b/marjoramgrade/stepconfig.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 @attrs.frozen
@@ -82,7 +82,7 @@
     name: str
     secrets: frozenset[str] = frozenset()
     weight: float = 1.0
-    limit: Resources = NOTHING
+    limit: Resources = ZERO_RESOURCES
 
 
 @attrs.frozen
--- a/marjoramgrade/stepjobs.py
+++ b/marjoramgrade/stepjobs.py
@@ -11,7 +11,7 @@
 import attrs
 
 from marjoramgrade.errors import InvalidInputError
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 # A job of this size fits into one row of the store with room for its progress.
 MAX_STEPS = 64
@@ -75,7 +75,7 @@
     """
 
     count: int
-    resources: Resources = NOTHING
+    resources: Resources = ZERO_RESOURCES
     estimate_ms: int = 0
     after: tuple[int, ...] = ()
     gang: bool = False
--- a/marjoramgrade/steprows.py
+++ b/marjoramgrade/steprows.py
@@ -55,12 +55,12 @@
     workers: tuple[StepWorker, ...] = ()
 
 
-def job_row(job_id: str) -> RowId:
+def job_row_id(job_id: str) -> RowId:
     """Return where a job as handed in lies."""
     return RowId(JOBS_TABLE, LEADER_PART, job_id)
 
 
-def progress_row(job_id: str) -> RowId:
+def progress_row_id(job_id: str) -> RowId:
     """Return where the progress of a job lies."""
     return RowId(PROGRESS_TABLE, LEADER_PART, job_id)
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -24,7 +24,7 @@
 from marjoramgrade.deployment import Deployment, read_deployment
 from marjoramgrade.documents import Document, serialize_team
 from marjoramgrade.errors import MarjoramgradeError, RefusedError
-from marjoramgrade.model import JobSpec, Kind, Zone, ZoneState
+from marjoramgrade.model import JobKind, JobSpec, Zone, ZoneState
 from marjoramgrade.resourcekinds import KEYS, ZONES
 from marjoramgrade.resources import Resources
 from scripts.demoboard import AwaitJob, JobBoard, JobTest, describe_tasks
@@ -41,19 +41,19 @@
 POLL_S = 0.2
 BATCH = JobSpec(
     "tyneside-housing",
-    Kind.BATCH,
+    JobKind.BATCH,
     tasks=48,
     resources=Resources(cpu_millis=2_000, memory_mib=1_024),
     run_ms=700,
 )
 GANG = JobSpec(
     "dales-food-banks",
-    Kind.GANG,
+    JobKind.GANG,
     tasks=4,
     resources=Resources(cpu_millis=8_000, memory_mib=4_096),
     run_ms=1_000,
 )
-WATCH = JobSpec("cumbria-rescue", Kind.SERVICE, tasks=3)
+WATCH = JobSpec("cumbria-rescue", JobKind.SERVICE, tasks=3)
 
 
 class StepFailedError(Exception):
--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -4,7 +4,7 @@
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.decisions.workers import WorkerNode, WorkerPool
-from marjoramgrade.model import Kind, Priority, TaskId
+from marjoramgrade.model import JobKind, Priority, TaskId
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import Policies
 
@@ -30,7 +30,7 @@
     team: str = "a",
     cores: int = 1,
     *,
-    kind: Kind = Kind.BATCH,
+    kind: JobKind = JobKind.BATCH,
     urgent: bool = False,
     at_ms: int = 0,
     not_before_ms: int = 0,
@@ -40,7 +40,7 @@
     return QueuedTask(
         TaskId(job, members[0] if members else index),
         team,
-        Kind.GANG if members else kind,
+        JobKind.GANG if members else kind,
         Priority.URGENT if urgent else Priority.NORMAL,
         amount(cores),
         at_ms,
@@ -52,7 +52,7 @@
 
 
 def scheduler_of(*nodes: WorkerNode, **policies: str) -> Scheduler:
-    scheduler = Scheduler.from_config({kind: Policies(**policies) for kind in Kind})
+    scheduler = Scheduler.from_config({kind: Policies(**policies) for kind in JobKind})
     for each in nodes:
         scheduler.add_worker(each)
     return scheduler
--- a/tests/strategies.py
+++ b/tests/strategies.py
@@ -12,7 +12,7 @@
 specs = st.builds(
     model.JobSpec,
     team=names,
-    kind=st.sampled_from(model.Kind),
+    kind=st.sampled_from(model.JobKind),
     tasks=st.integers(1, 50),
     resources=resources,
     run_ms=st.integers(0, 10**9),
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -20,7 +20,7 @@
 from tests import strategies
 from tests.scriptedserver import Answer, ScriptedServer, fails, hangs_up, ran, run, says
 
-SPEC = model.JobSpec("a", model.Kind.BATCH, tasks=2)
+SPEC = model.JobSpec("a", model.JobKind.BATCH, tasks=2)
 JOB = model.Job.from_spec("j1", SPEC, "z.0")
 
 
@@ -206,7 +206,7 @@
                 await stranger.get_job("j1")
             watching = asyncio.ensure_future(watch_until_done(operator))
             async with Client.from_url(second.url, secret) as client:
-                spec = model.JobSpec("a", model.Kind.BATCH, tasks=2, run_ms=20)
+                spec = model.JobSpec("a", model.JobKind.BATCH, tasks=2, run_ms=20)
                 assert (await client.submit(spec, "j1")).spec == spec
                 answer = await client.run("charity-accounts", b'{"work_ms":5}')
                 assert answer == b'{"work_ms":5}'
--- a/tests/test_excess.py
+++ b/tests/test_excess.py
@@ -1,13 +1,13 @@
 from marjoramgrade.decisions.excess import choose_excess_tasks
 from marjoramgrade.decisions.running import RunningTasks
 from marjoramgrade.decisions.tasks import RunningTask
-from marjoramgrade.model import Kind, Priority, TaskId
+from marjoramgrade.model import JobKind, Priority, TaskId
 from marjoramgrade.resources import Resources
 
 ONE = Resources(cpu_millis=1000)
 
 
-def _running(job_id: str, kind: Kind, started_ms: int) -> RunningTask:
+def _running(job_id: str, kind: JobKind, started_ms: int) -> RunningTask:
     return RunningTask(
         TaskId(job_id, 0), "acme", kind, Priority.NORMAL, ONE, "w", started_ms
     )
@@ -17,9 +17,9 @@
     """Guards against a service that is stopped while batch work goes on."""
     book = RunningTasks()
     for job_id, kind, started_ms in (
-        ("old", Kind.BATCH, 1),
-        ("watch", Kind.SERVICE, 2),
-        ("new", Kind.BATCH, 3),
+        ("old", JobKind.BATCH, 1),
+        ("watch", JobKind.SERVICE, 2),
+        ("new", JobKind.BATCH, 3),
     ):
         book.add(_running(job_id, kind, started_ms))
     amount = Resources(cpu_millis=1500)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -6,7 +6,7 @@
 )
 from marjoramgrade.decisions.placement import PLACEMENTS
 from marjoramgrade.model import TaskId
-from marjoramgrade.resources import NOTHING
+from marjoramgrade.resources import ZERO_RESOURCES
 from tests.scheduling import amount, node, pool_of, queued, scheduler_of, started
 
 BEST_FIT = PLACEMENTS.get("best_fit")()
@@ -39,10 +39,10 @@
         pool.allocate(f"w-{index}", amount(3))
     services = {"w-0": amount(3)}
     planned = plan_reservation(
-        pool, amount(2), 4, False, lambda name: services.get(name, NOTHING)
+        pool, amount(2), 4, False, lambda name: services.get(name, ZERO_RESOURCES)
     )
     assert planned == ["w-1", "w-1", "w-2", "w-2"]
-    assert plan_reservation(pool, amount(4), 4, False, lambda _: NOTHING) is None
+    assert plan_reservation(pool, amount(4), 4, False, lambda _: ZERO_RESOURCES) is None
 
 
 def test_a_gang_that_waited_gets_its_room_despite_small_tasks() -> None:
--- a/tests/test_grantmanager.py
+++ b/tests/test_grantmanager.py
@@ -5,7 +5,7 @@
 from marjoramgrade.errors import WriteOutcomeUnknownError
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.model import Config, Team
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.store import Store
 from marjoramgrade.table import MemoryTable, RowsPage, Transaction
 
@@ -44,7 +44,7 @@
             name, epoch, Store(table), self.clock, MemoryMetrics()
         )
         self.manager.set_config(Config(1, {"acme": Team("acme", limit=limit)}))
-        self.in_use = NOTHING
+        self.in_use = ZERO_RESOURCES
 
     def start_up_to(self, count: int) -> None:
         for _ in range(count):
@@ -116,7 +116,7 @@
             first.start_up_to(1)
             await first.refresh()
         assert first.in_use == LIMIT
-        first.in_use = NOTHING
+        first.in_use = ZERO_RESOURCES
         for _ in range(30):
             await first.refresh()
             second.start_up_to(1)
@@ -157,4 +157,4 @@
             await holder.refresh()
         return holder.in_use
 
-    assert asyncio.run(run()) != NOTHING
+    assert asyncio.run(run()) != ZERO_RESOURCES
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -11,7 +11,7 @@
     with_limit,
 )
 from marjoramgrade.errors import NotOwnerError
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
 
 def cpus(amount: int) -> Resources:
@@ -26,7 +26,7 @@
     """Guards against grants whose sum is above the limit (invariant 4)."""
     row = allocate(row_of(10, x=3, y=4), "x", 1, Resources(9, memory_mib=9))
     assert row.amount("x") == cpus(6)
-    assert row.unallocated == NOTHING
+    assert row.unallocated == ZERO_RESOURCES
     assert return_unused(row, "x", 1, cpus(99)).unallocated == cpus(6)
 
 
@@ -55,9 +55,9 @@
     assert row.amount_by_shard == {"x": cpus(4), "y": cpus(4)}
     assert row.held("y") == cpus(UNLIMITED)
     row = confirm(return_unused(row, "x", 1, cpus(4)), "x", 1)
-    assert row.unallocated == NOTHING
+    assert row.unallocated == ZERO_RESOURCES
     assert confirm(row, "y", 1).unallocated == cpus(4)
-    assert with_limit(row, NOTHING).unconfirmed_by_shard == {}
+    assert with_limit(row, ZERO_RESOURCES).unconfirmed_by_shard == {}
 
 
 def test_an_earlier_owner_of_a_shard_changes_nothing() -> None:
@@ -71,4 +71,4 @@
     ):
         with pytest.raises(NotOwnerError):
             change()
-    assert claim(row, "z", 1).amount("z") == NOTHING
+    assert claim(row, "z", 1).amount("z") == ZERO_RESOURCES
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -6,11 +6,11 @@
 from marjoramgrade.decisions.outcomes import PendingOutcomes
 from marjoramgrade.messages.jobs import GetTasks, TaskStatus, WriteJob
 from marjoramgrade.metrics import MemoryMetrics
-from marjoramgrade.model import Job, JobSpec, Kind, Outcome, TaskId
+from marjoramgrade.model import Job, JobKind, JobSpec, Outcome, TaskId
 from marjoramgrade.store import Store
 from marjoramgrade.table import ABSENT, MemoryTable
 
-SPEC = JobSpec("acme", Kind.BATCH, tasks=2)
+SPEC = JobSpec("acme", JobKind.BATCH, tasks=2)
 ENDED = Job("pack", SPEC, "leeds.0", outcomes="df", reason="failed")
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from marjoramgrade.decisions.grants import UNLIMITED, GrantsRow
 from marjoramgrade.decisions.limits import HeldGrants, choose_donor
 from marjoramgrade.errors import CheckFailedError
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.table import MemoryTable, Transaction
 
 MACHINE = settings(
@@ -251,7 +251,7 @@
 class Optimist(HeldGrants):
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
         row = super().begin_return(team, amount)
-        self._grant_by_team[team].returning = NOTHING
+        self._grant_by_team[team].returning = ZERO_RESOURCES
         return row
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -4,7 +4,7 @@
     URGENT_PREEMPTION_DELAY_MS,
 )
 from marjoramgrade.decisions.scheduler import Scheduler
-from marjoramgrade.model import Kind, TaskId
+from marjoramgrade.model import JobKind, TaskId
 from tests.scheduling import node, queued, scheduler_of, started, stopped
 
 URGENT = TaskId("urgent", 0)
@@ -55,7 +55,7 @@
     fill(
         scheduler,
         queued("batch", 0, "a"),
-        queued("service", 0, "a", kind=Kind.SERVICE),
+        queued("service", 0, "a", kind=JobKind.SERVICE),
         queued("first", 0, "a", urgent=True),
     )
     assert victims_of(scheduler, team="c") == {"batch/0": "checkpoint"}
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -3,13 +3,13 @@
     MEMORY_RETENTION_MS,
     EndedJobs,
 )
-from marjoramgrade.model import Job, JobSpec, Kind, Outcome
+from marjoramgrade.model import Job, JobKind, JobSpec, Outcome
 
 RETENTION_MS = 24 * 3_600_000
 
 
 def _ended(number: int) -> tuple[Job, int]:
-    job = Job.from_spec(f"j-{number}", JobSpec("acme", Kind.BATCH), "leeds.0")
+    job = Job.from_spec(f"j-{number}", JobSpec("acme", JobKind.BATCH), "leeds.0")
     return job.with_outcomes({0: Outcome.DONE}), number
 
 
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -5,8 +5,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from marjoramgrade.decisions.actions import EndStatus, StartTask, StopTask
-from marjoramgrade.model import Kind, TaskId
-from marjoramgrade.resources import NOTHING, Resources
+from marjoramgrade.model import JobKind, TaskId
+from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from tests.scheduling import amount, node, queued, scheduler_of
 
 WORKERS = [f"w-{index}" for index in range(3)]
@@ -36,7 +36,7 @@
         """Make every run begin full, so that claims and preemption are reached."""
         for name in WORKERS[:2]:
             self.add_worker(name)
-        self.submit("a", 1, 8, Kind.BATCH, False, 0)
+        self.submit("a", 1, 8, JobKind.BATCH, False, 0)
         self.step(0, 9)
 
     @rule(name=st.sampled_from(WORKERS))
@@ -68,12 +68,18 @@
         team=st.sampled_from("abc"),
         cores=st.integers(1, 4),
         count=st.integers(1, 4),
-        kind=st.sampled_from(Kind),
+        kind=st.sampled_from(JobKind),
         urgent=st.booleans(),
         delay_ms=st.sampled_from([0, 0, 500]),
     )
     def submit(
-        self, team: str, cores: int, count: int, kind: Kind, urgent: bool, delay_ms: int
+        self,
+        team: str,
+        cores: int,
+        count: int,
+        kind: JobKind,
+        urgent: bool,
+        delay_ms: int,
     ) -> None:
         self.jobs += 1
         job = f"j-{self.jobs}"
@@ -82,7 +88,7 @@
             "at_ms": self.now_ms,
             "not_before_ms": self.now_ms + delay_ms,
         }
-        if kind is Kind.GANG:
+        if kind is JobKind.GANG:
             members = tuple(range(count))
             entries = [queued(job, 0, team, cores, members=members, **common)]
             self.gang_by_job[job] = set(members)
@@ -159,7 +165,7 @@
     @invariant()
     def never_overcommitted(self) -> None:
         for name in self.open_workers | self.draining:
-            used = NOTHING
+            used = ZERO_RESOURCES
             for worker, resources in self.placed.values():
                 if worker == name:
                     used = used + resources
--- a/tests/test_settingsfile.py
+++ b/tests/test_settingsfile.py
@@ -8,7 +8,7 @@
 
 from marjoramgrade import settingsfile
 from marjoramgrade.errors import SettingsError
-from marjoramgrade.model import Kind
+from marjoramgrade.model import JobKind
 from marjoramgrade.registry import Registry
 from marjoramgrade.settings import DEFAULT_FILTERS, EntrySettings, Policies
 from tests import strategies
@@ -102,8 +102,8 @@
     """Guards against a kind of work without policies at run time."""
     document = {**GOOD, "policies_by_kind": {"batch": {"queue_order": "fifo"}}}
     settings = settingsfile.parse_entry_settings(document, NAMES)
-    assert settings.policies_by_kind[Kind.BATCH].queue_order == "fifo"
-    assert settings.policies_by_kind[Kind.GANG] == DEFAULT
+    assert settings.policies_by_kind[JobKind.BATCH].queue_order == "fifo"
+    assert settings.policies_by_kind[JobKind.GANG] == DEFAULT
 
 
 @given(
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -44,7 +44,7 @@
     StepJobState,
     WorkerListing,
 )
-from marjoramgrade.steprows import EPOCH_ROW, job_row, progress_row
+from marjoramgrade.steprows import EPOCH_ROW, job_row_id, progress_row_id
 from tests.rowstore import MemoryRowStore
 from tests.steps import URGENT, cores, job, worker
 
@@ -156,7 +156,7 @@
             new = job("a", Step(3, cores(1)), Step(2, cores(1), after=(0,)))
             answer = await scheduler.ask(SubmitStepJob(new))
             assert answer == StepJobAccepted(True)
-            assert job_row("a") in store.rows
+            assert job_row_id("a") in store.rows
             await wait_for_state(scheduler, "a", StepJobState.COMPLETED)
             started = [entry for port in ports.values() for entry in port.started]
             assert len(started) == 5
@@ -212,7 +212,7 @@
             store.mode = "ok"
             for answer in await answers:
                 if isinstance(answer, StepJobAccepted):
-                    assert job_row("a") in store.rows
+                    assert job_row_id("a") in store.rows
                     await scheduler.ask(GetStepJob("a"))
                 else:
                     assert isinstance(answer, TableRefusedError)
@@ -237,7 +237,7 @@
             first = asyncio.ensure_future(scheduler.ask(SubmitStepJob(job("a"))))
             await asyncio.sleep(0.01)
             for number in range(400):
-                row = RowWrite(progress_row(f"other{number}"), b"x")
+                row = RowWrite(progress_row_id(f"other{number}"), b"x")
                 scheduler._lead.commits.tell(SaveRows((row,)))
             again = asyncio.ensure_future(scheduler.ask(SubmitStepJob(job("a"))))
             await first
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -8,7 +8,7 @@
 from marjoramgrade.decisions.stepprogress import JobRecord, TaskPhase
 from marjoramgrade.decisions.stepstate import StepState
 from marjoramgrade.decisions.steptracker import RUNS_PER_EPOCH
-from marjoramgrade.resources import NOTHING
+from marjoramgrade.resources import ZERO_RESOURCES
 from marjoramgrade.stepjobs import RunEnd, RunEndStatus, RunReport, Step, StepJobState
 from marjoramgrade.steprows import parse_row, serialize_row
 from tests.steps import (
@@ -39,7 +39,7 @@
     cell.confirm(last)
     cell.end(last, 3)
     assert progress.state is StepJobState.COMPLETED
-    assert cell.worker("w").used == NOTHING
+    assert cell.worker("w").used == ZERO_RESOURCES
 
 
 def test_dropped_job_gives_its_room_back():
@@ -49,8 +49,8 @@
     progress.stored = False
     assert len(starts(cell.plan())) == 1
     cell.state.remove_job("a")
-    assert cell.worker("w").used == NOTHING
-    assert cell.state.usage.used_by_team["red"] == NOTHING
+    assert cell.worker("w").used == ZERO_RESOURCES
+    assert cell.state.usage.used_by_team["red"] == ZERO_RESOURCES
 
 
 def test_unanswered_start_is_settled_by_a_listing_under_a_higher_fence():
@@ -189,7 +189,7 @@
     assert len(stops(cell.collect_actions())) == 1
     assert cell.worker("w").used == cores(1)
     cell.end(start, 1, RunEndStatus.STOPPED)
-    assert cell.worker("w").used == NOTHING
+    assert cell.worker("w").used == ZERO_RESOURCES
     assert not cell.state.open_job_by_id
 
 
@@ -202,7 +202,7 @@
     cell.report_listing("w", born_ms=5_000)
     cell.collect_actions()
     cell.report_listing("w", born_ms=5_000)
-    assert cell.worker("w").used == NOTHING
+    assert cell.worker("w").used == ZERO_RESOURCES
     assert len(starts(cell.plan())) == 1
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,14 +7,14 @@
 from marjoramgrade.decisions.ownership import ShardRow
 from marjoramgrade.errors import CheckFailedError
 from marjoramgrade.messages.jobs import ShardFence, WriteJob
-from marjoramgrade.model import Config, Job, JobSpec, Kind, Outcome, Team
+from marjoramgrade.model import Config, Job, JobKind, JobSpec, Outcome, Team
 from marjoramgrade.store import Store, failed_keys
 from marjoramgrade.table import MemoryTable, RowsPage
 
 FIRST = Config(1, {"acme": Team("acme")})
 SECOND = Config(2, {"acme": Team("acme", share=2)})
 SHARD = "leeds.0"
-JOB = Job.from_spec("pack", JobSpec("acme", Kind.BATCH), SHARD)
+JOB = Job.from_spec("pack", JobSpec("acme", JobKind.BATCH), SHARD)
 
 
 class RecordingTable(MemoryTable):
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -118,7 +118,7 @@
         config = put_team(config, f"t{n}")
         delete = Change("teams", f"t{n}", None, config.version, f"d{n}")
         config = attrs.evolve(apply_change(config, delete), version=config.version + 1)
-    assert "teams.a" not in config.base_by_path
+    assert "teams.a" not in config.base_version_by_path
     with pytest.raises(ConflictError):
         put_team(config, "a", base_version=2)
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -4,9 +4,9 @@
 from marjoramgrade.controllers.watch import Subscribe, WatchController
 from marjoramgrade.messages.configuration import ConfigConfirmed
 from marjoramgrade.messages.jobs import JobsChanged, StoredJob
-from marjoramgrade.model import Config, Job, JobSpec, Kind
+from marjoramgrade.model import Config, Job, JobKind, JobSpec
 
-SPEC = JobSpec("acme", Kind.BATCH)
+SPEC = JobSpec("acme", JobKind.BATCH)
 
 
 def jobs(read_version: int, *versions: int) -> JobsChanged:
