--- a/tests/strategies.py
+++ b/tests/strategies.py
@@ -67,7 +67,7 @@
     st.dictionaries(names.map("teams.{}".format), st.integers(0, 2**40), max_size=4),
     st.integers(-1, 2**40),
 )
-hostile = st.recursive(
+arbitrary_values = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -152,7 +152,7 @@
     run(work, says(body))
 
 
-@given(strategies.hostile)
+@given(strategies.arbitrary_values)
 def test_any_error_document_becomes_a_typed_error(report: object) -> None:
     """Guards against an error answer that crashes the client."""
     for document in (report, {"error": report}):
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -52,7 +52,7 @@
     values, serialize, parse = PAIRS[kind]
     document = serialize(data.draw(values))
     field = data.draw(st.sampled_from(sorted(document)) | st.text())
-    document[field] = data.draw(strategies.hostile)
+    document[field] = data.draw(strategies.arbitrary_values)
     for candidate in (document, document[field]):
         try:
             parse(candidate)
--- a/tests/test_settingsfile.py
+++ b/tests/test_settingsfile.py
@@ -108,7 +108,7 @@
 
 @given(
     field=st.sampled_from([f.name for f in attrs.fields(EntrySettings)]) | st.text(),
-    value=strategies.hostile,
+    value=strategies.arbitrary_values,
 )
 def test_hostile_settings_raise_only_settings_errors(field: str, value: object) -> None:
     """Guards against a settings file that crashes the start with a traceback."""
