--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -19,7 +19,7 @@
     MarjoramgradeError,
     NotOwnerError,
     RowCheckFailedError,
-    TableRefusedError,
+    TableRequiredError,
     TableUnavailableError,
     WriteOutcomeUnknownError,
 )
@@ -60,7 +60,7 @@
         is_refusable: Whether a caller waits who can be refused. Such rows go before the
             others and are answered by themselves. If the store turns out to be out of
             reach before they were ever sent, the request is given up with
-            `TableRefusedError`.
+            `TableRequiredError`.
     """
 
     writes: tuple[RowWrite, ...]
@@ -124,7 +124,7 @@
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.add_done_callback(lambda f: f.cancelled() or f.exception())
         if message.is_refusable and not self._reachable:
-            raise TableRefusedError("the store cannot be reached")
+            raise TableRequiredError("the store cannot be reached")
         self._queue.append(_Request(message.writes, message.is_refusable, done))
         self._wake.set()
         return done
@@ -266,7 +266,7 @@
         for request in self._queue:
             if request.is_refusable and not request.done.done():
                 request.done.set_exception(
-                    TableRefusedError("the store cannot be reached")
+                    TableRequiredError("the store cannot be reached")
                 )
         self._queue = [r for r in self._queue if not r.done.done()]
 
--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -22,7 +22,7 @@
     ConflictError,
     MarjoramgradeError,
     OutcomeUnknownError,
-    TableRefusedError,
+    TableRequiredError,
     TableUnavailableError,
     WriteOutcomeUnknownError,
 )
@@ -176,7 +176,7 @@
             raise OutcomeUnknownError(error.message) from error
         except TableUnavailableError as error:
             self._authority.tell(EndWrite(write_id))
-            raise TableRefusedError(error.message) from error
+            raise TableRequiredError(error.message) from error
         except MarjoramgradeError:
             self._authority.tell(EndWrite(write_id))
             raise
--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -24,7 +24,7 @@
     ShuttingDownError,
     StaleAuthorityError,
     TableError,
-    TableRefusedError,
+    TableRequiredError,
 )
 from marjoramgrade.messages.peers import CallPeer
 from marjoramgrade.messages.rows import ReadRows, RowsPage
@@ -63,7 +63,7 @@
     InvalidInputError,
     OverloadedError,
     StaleAuthorityError,
-    TableRefusedError,
+    TableRequiredError,
 )
 
 LeaderRequest = SubmitStepJob | GetStepJob | CancelStepJob | CountPending
--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -19,7 +19,7 @@
     MarjoramgradeError,
     NotFoundError,
     OutcomeUnknownError,
-    TableRefusedError,
+    TableRequiredError,
     TableUnavailableError,
     WriteOutcomeUnknownError,
 )
@@ -168,7 +168,7 @@
         except CheckFailedError:
             return _same_or_conflict(await self._read(message.job_id), message)
         except TableUnavailableError as error:
-            raise TableRefusedError(error.message) from error
+            raise TableRequiredError(error.message) from error
         except WriteOutcomeUnknownError as error:
             raise OutcomeUnknownError(error.message) from error
         self._apply((stored,))
@@ -194,7 +194,7 @@
                 self._metrics.retried("cancel_conflict")
                 continue
             except TableUnavailableError as error:
-                raise TableRefusedError(error.message) from error
+                raise TableRequiredError(error.message) from error
             self._apply((written,))
             return written
         raise ConflictError(
@@ -215,7 +215,7 @@
         try:
             stored = await self._store.read_job(job_id)
         except TableUnavailableError as error:
-            raise TableRefusedError(error.message) from error
+            raise TableRequiredError(error.message) from error
         if stored is None:
             raise NotFoundError(f"there is no job {job_id}")
         self._apply((stored,))
@@ -228,7 +228,7 @@
         """
         try:
             return await self._read(job_id)
-        except TableRefusedError:
+        except TableRequiredError:
             known = self._job_by_id.get(job_id)
             if known is None:
                 raise
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -18,7 +18,7 @@
     OverloadedError,
     QueueNotFoundError,
     ShuttingDownError,
-    TableRefusedError,
+    TableRequiredError,
 )
 from marjoramgrade.messages.rows import RowWrite
 from marjoramgrade.messages.steps import (
@@ -79,7 +79,7 @@
             return StepJobAccepted(False)
         queue = await self._find_queue(job.queue, message.config_version)
         if not lead.reachable:
-            raise TableRefusedError("the store cannot be reached")
+            raise TableRequiredError("the store cannot be reached")
         if len(lead.state.open_job_by_id) >= MAX_OPEN_JOBS:
             raise OverloadedError("too many jobs are open")
         progress = lead.state.add_job(job, queue, self._clock.now_ms())
@@ -91,7 +91,7 @@
         self._schedule_plan(lead)
         try:
             await self._settle(lead, write, is_refusable=True)
-        except TableRefusedError:
+        except TableRequiredError:
             lead.state.remove_job(job.job_id)
             raise
         progress.stored = True
@@ -130,7 +130,7 @@
         """Wait until the store holds a job.
 
         Raises:
-            TableRefusedError: If nothing was sent to the store and nothing will be.
+            TableRequiredError: If nothing was sent to the store and nothing will be.
             OutcomeUnknownError: If the lead ends first; a successor may find it.
         """
         try:
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -15,8 +15,8 @@
     WorkerError,
     WorkerRefusedError,
     WorkerReplacedError,
-    WorkerSilentError,
     WorkerUnreachableError,
+    WorkerUnresponsiveError,
 )
 from marjoramgrade.messages.steps import (
     AcknowledgeRunEnds,
@@ -162,7 +162,7 @@
             return StartOutcome.REFUSED, error.reason
         except (WorkerUnreachableError, WorkerReplacedError) as error:
             return StartOutcome.REFUSED, error.code
-        except WorkerSilentError as error:
+        except WorkerUnresponsiveError as error:
             logs.state_change(
                 "start_unanswered",
                 job=message.order.task.job_id,
--- a/marjoramgrade/controllers/workerport.py
+++ b/marjoramgrade/controllers/workerport.py
@@ -12,7 +12,7 @@
 
     Every order carries a fence; a worker does nothing for one below the highest
     that it has seen. Every call can raise `WorkerUnreachableError` (nothing was
-    sent), `WorkerSilentError` (it may be carried out later),
+    sent), `WorkerUnresponsiveError` (it may be carried out later),
     `WorkerReplacedError` and `WorkerRefusedError` (nothing was done).
     """
 
--- a/marjoramgrade/errors.py
+++ b/marjoramgrade/errors.py
@@ -166,7 +166,7 @@
     code = "stale_authority"
 
 
-class TableRefusedError(RefusedError):
+class TableRequiredError(RefusedError):
     """The table is unreachable and the operation needs a write."""
 
     code = "table_unavailable"
@@ -331,7 +331,7 @@
     code = "worker_error"
 
 
-class WorkerSilentError(WorkerError):
+class WorkerUnresponsiveError(WorkerError):
     """A worker gave no answer; the order may be carried out later."""
 
     code = "worker_silent"
--- a/marjoramgrade/platform/workers.py
+++ b/marjoramgrade/platform/workers.py
@@ -17,8 +17,8 @@
     InvalidInputError,
     WorkerRefusedError,
     WorkerReplacedError,
-    WorkerSilentError,
     WorkerUnreachableError,
+    WorkerUnresponsiveError,
 )
 from marjoramgrade.platform.decoding import DECODE_FAULTS
 from marjoramgrade.resources import Resources
@@ -125,7 +125,7 @@
         except HttpNotSentError as error:
             raise WorkerUnreachableError(error.message) from None
         except HttpNoAnswerError as error:
-            raise WorkerSilentError(error.message) from None
+            raise WorkerUnresponsiveError(error.message) from None
         if answer.status == 200:
             return answer
         if answer.status == 421:
@@ -145,7 +145,7 @@
     try:
         document = msgspec.json.decode(answer.body) if answer.body else {}
     except msgspec.DecodeError as error:
-        raise WorkerSilentError(f"the answer is not JSON: {error}") from None
+        raise WorkerUnresponsiveError(f"the answer is not JSON: {error}") from None
     return document if isinstance(document, dict) else {}
 
 
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -11,7 +11,7 @@
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.controllers import commits
 from marjoramgrade.controllers.commits import CommitController, SaveRows
-from marjoramgrade.errors import NotOwnerError, TableRefusedError
+from marjoramgrade.errors import NotOwnerError, TableRequiredError
 from marjoramgrade.messages.rows import CommitRows, RowCheck, RowId, RowWrite
 from marjoramgrade.messages.steps import (
     LeadershipConfirmed,
@@ -139,7 +139,7 @@
             unsent = controller.ask(
                 save(b"x", RowId("jobs", "p0", "b"), is_refusable=True)
             )
-            with pytest.raises(TableRefusedError):
+            with pytest.raises(TableRequiredError):
                 await asyncio.wait_for(unsent, 1)
             assert not stuck.done()
             assert StoreReachability(False) in listener.received
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -20,7 +20,7 @@
     OverloadedError,
     OwnerUnreachableError,
     StaleAuthorityError,
-    TableRefusedError,
+    TableRequiredError,
 )
 from marjoramgrade.messages.peers import CallPeer
 from marjoramgrade.messages.steps import (
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    "refusal", [TableRefusedError, StaleAuthorityError, OverloadedError]
+    "refusal", [TableRequiredError, StaleAuthorityError, OverloadedError]
 )
 def test_refusal_after_an_attempt_that_may_have_succeeded_is_unknown(refusal):
     # Guards against a job that is refused as not run although a former leader has it.
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -20,8 +20,8 @@
 from marjoramgrade.errors import (
     JobNotFoundError,
     NotOwnerError,
-    TableRefusedError,
-    WorkerSilentError,
+    TableRequiredError,
+    WorkerUnresponsiveError,
 )
 from marjoramgrade.messages.peers import CallPeer, TellPeers
 from marjoramgrade.messages.rows import CommitRows, RowWrite
@@ -68,7 +68,7 @@
     async def start(self, order, fence, expires_clock_ms):
         if self.lose_next:
             self.lose_next = False
-            raise WorkerSilentError("no answer")
+            raise WorkerUnresponsiveError("no answer")
         self.started.append((order.task, order.run))
         self.running[(order.task, order.run)] = self.clock() + self.run_ms
         return self.clock()
@@ -215,7 +215,7 @@
                     assert job_row_id("a") in store.rows
                     await scheduler.ask(GetStepJob("a"))
                 else:
-                    assert isinstance(answer, TableRefusedError)
+                    assert isinstance(answer, TableRequiredError)
 
     asyncio.run(run())
 
--- a/tests/test_stepworkerlink.py
+++ b/tests/test_stepworkerlink.py
@@ -11,8 +11,8 @@
 from marjoramgrade.controllers.workerport import WorkerPort
 from marjoramgrade.errors import (
     WorkerReplacedError,
-    WorkerSilentError,
     WorkerUnreachableError,
+    WorkerUnresponsiveError,
 )
 from marjoramgrade.messages.steps import (
     AcknowledgeRunEnds,
@@ -124,7 +124,7 @@
     async def run():
         for error, outcome in (
             (None, StartOutcome.STARTED),
-            (WorkerSilentError("lost"), StartOutcome.UNKNOWN),
+            (WorkerUnresponsiveError("lost"), StartOutcome.UNKNOWN),
             (WorkerUnreachableError("none"), StartOutcome.REFUSED),
         ):
             async with linked() as (link, port, scheduler):
@@ -150,7 +150,7 @@
     # Guards against a late order that keeps runs alive which count as lost.
     async def run():
         async with linked() as (_, port, scheduler):
-            port.error = WorkerSilentError("lost")
+            port.error = WorkerUnresponsiveError("lost")
             await asyncio.sleep(0.05)
             port.calls.clear()
             async with asyncio.timeout(5):
@@ -235,7 +235,7 @@
             async with asyncio.timeout(3):
                 while ("wait",) not in port.calls:
                     await asyncio.sleep(0.005)
-            port.error = WorkerSilentError("cut off")
+            port.error = WorkerUnresponsiveError("cut off")
             for ahead_ms in (1_000, 2_000):
                 link.tell(ShortenListingWaits(clock.now_ms() + ahead_ms))
                 await asyncio.sleep(0.05)
