--- a/marjoramgrade/controllers/grantmanager.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -155,7 +155,7 @@
         return ZERO_RESOURCES if known is None else known.limit
 
     async def _read(self) -> None:
-        page = await self._store.changed_grants(self._read_version)
+        page = await self._store.read_changed_grants(self._read_version)
         for stored in page.grants:
             self._observe(stored)
         self._read_version = max(self._read_version, page.version)
--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -243,7 +243,7 @@
     async def _follow(self) -> None:
         while True:
             try:
-                page = await self._store.changed_jobs(self._read_version)
+                page = await self._store.read_changed_jobs(self._read_version)
             except MarjoramgradeError:
                 self._metrics.retried("jobs_table_error")
             else:
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -153,7 +153,7 @@
         asked_ms = self._clock.now_ms()
         row = state.row.taken_over_by(self._instance_id, self._guardians)
         try:
-            state.version = await self._store.take_shard(row, state.version)
+            state.version = await self._store.take_over_shard(row, state.version)
         except CheckFailedError:
             self._metrics.retried("takeover_lost_race")
             self._resolve_writes(state)
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -362,7 +362,7 @@
         while epoch == self._epoch and self._is_owner():
             try:
                 roster = await self._store.read_roster(self._shard)
-                jobs = await self._store.changed_jobs(0)
+                jobs = await self._store.read_changed_jobs(0)
             except MarjoramgradeError:
                 self._metrics.retried("shard_load_table_error")
                 await asyncio.sleep(LOAD_RETRY_MS / 1000)
--- a/marjoramgrade/store.py
+++ b/marjoramgrade/store.py
@@ -26,7 +26,7 @@
 from marjoramgrade.messages.peers import Member
 from marjoramgrade.model import Config
 from marjoramgrade.resources import Resources
-from marjoramgrade.table import ABSENT, Row, Table, Transaction, Value
+from marjoramgrade.table import ABSENT, Row, RowValue, Table, Transaction
 
 CONFIG_KEY = "config"
 EPOCHS_PREFIX = "epochs/"
@@ -183,7 +183,7 @@
             SHARDS_PREFIX + row.shard, _serialize_shard(row), expected_version
         )
 
-    async def take_shard(self, row: ShardRow, expected_version: int) -> int:
+    async def take_over_shard(self, row: ShardRow, expected_version: int) -> int:
         """Write an ownership row and the shard's epoch row in one transaction.
 
         Only takeovers write the epoch row, so a transaction that checks it
@@ -199,7 +199,7 @@
             {key: expected_version, epoch_key: epoch_version},
             {key: _serialize_shard(row), epoch_key: {"epoch": row.epoch}},
         )
-        return await self._table.commit_resolved(transaction)
+        return await self._table.commit_and_resolve(transaction)
 
     async def read_roster(self, shard: str) -> StoredRoster:
         """Return the workers that may run tasks of a shard."""
@@ -245,7 +245,7 @@
         page = await self._table.changes(MEMBERS_PREFIX)
         return tuple(_parse_member(row) for row in page.rows if row.value is not None)
 
-    async def changed_jobs(self, after: int) -> JobsPage:
+    async def read_changed_jobs(self, after: int) -> JobsPage:
         """Return the jobs whose rows changed after a version."""
         page = await self._table.changes(JOBS_PREFIX, after)
         jobs = tuple(
@@ -270,7 +270,7 @@
         checks = {JOBS_PREFIX + job: v for job, v in version_by_id.items()}
         await self._table.commit(Transaction(checks, dict.fromkeys(checks)))
 
-    async def changed_grants(self, after: int) -> GrantsPage:
+    async def read_changed_grants(self, after: int) -> GrantsPage:
         """Return the grants rows that changed after a version."""
         page = await self._table.changes(GRANTS_PREFIX, after)
         grants = tuple(_parse_grants(row) for row in page.rows if row.value is not None)
@@ -288,7 +288,7 @@
         """
         checks = {GRANTS_PREFIX + g.row.team: g.version for g in grants}
         writes = {GRANTS_PREFIX + g.row.team: _serialize_grants(g) for g in grants}
-        return await self._table.commit_resolved(Transaction(checks, writes))
+        return await self._table.commit_and_resolve(Transaction(checks, writes))
 
     async def commit_records(
         self, jobs: Sequence[WriteJob], requests: Sequence[RequestRecord]
@@ -303,7 +303,7 @@
             TableError: If the table gave no answer.
         """
         checks: dict[str, int] = {}
-        writes: dict[str, Value | None] = {}
+        writes: dict[str, RowValue | None] = {}
         for write in jobs:
             key = JOBS_PREFIX + write.job.job_id
             checks[key] = write.expected_version
@@ -313,13 +313,13 @@
         for record in requests:
             checks[record.key] = ABSENT
             writes[record.key] = {"state": "taken"}
-        return await self._table.commit_resolved(Transaction(checks, writes))
+        return await self._table.commit_and_resolve(Transaction(checks, writes))
 
     async def _commit_row(
         self, key: str, document: Mapping[str, object], expected_version: int
     ) -> int:
         transaction = Transaction({key: expected_version}, {key: document})
-        return await self._table.commit_resolved(transaction)
+        return await self._table.commit_and_resolve(transaction)
 
 
 @contextlib.contextmanager
@@ -337,7 +337,7 @@
         return Member(**row.value, row_version=row.version)
 
 
-def _serialize_shard(row: ShardRow) -> Value:
+def _serialize_shard(row: ShardRow) -> RowValue:
     return {
         "owner": row.owner,
         "epoch": row.epoch,
@@ -370,7 +370,7 @@
     )
 
 
-def _serialize_grants(stored: StoredGrants) -> Value:
+def _serialize_grants(stored: StoredGrants) -> RowValue:
     row = stored.row
     return {
         "limit": serialize_resources(row.limit),
@@ -381,7 +381,7 @@
     }
 
 
-def _serialize_amounts(amounts: Mapping[str, Resources]) -> Value:
+def _serialize_amounts(amounts: Mapping[str, Resources]) -> RowValue:
     return {name: serialize_resources(amount) for name, amount in amounts.items()}
 
 
--- a/marjoramgrade/table.py
+++ b/marjoramgrade/table.py
@@ -17,9 +17,9 @@
 )
 
 ABSENT = 0
-RESOLVE_ATTEMPTS = 3
+MAX_COMMIT_ATTEMPTS = 3
 
-Value = Mapping[str, Any]
+RowValue = Mapping[str, Any]
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
     key: str
     version: int
     write_id: str
-    value: Value | None
+    value: RowValue | None
 
 
 @attrs.frozen
@@ -63,7 +63,7 @@
     """
 
     checks: Mapping[str, int]
-    writes: Mapping[str, Value | None]
+    writes: Mapping[str, RowValue | None]
     write_id: str = attrs.field(factory=lambda: uuid.uuid4().hex)
 
 
@@ -109,7 +109,7 @@
                 return row
         return None
 
-    async def commit_resolved(self, transaction: Transaction) -> int:
+    async def commit_and_resolve(self, transaction: Transaction) -> int:
         """Apply a transaction and find out what became of a lost answer.
 
         The transaction must check every row that it writes: then it takes
@@ -123,7 +123,7 @@
             WriteOutcomeUnknownError: If the outcome could not be found out.
         """
         lost = False
-        for _ in range(RESOLVE_ATTEMPTS):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             try:
                 return await self.commit(transaction)
             except WriteOutcomeUnknownError:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -74,12 +74,12 @@
     async def run() -> None:
         store = Store(MemoryTable())
         first = ShardRow(SHARD).taken_over_by("a", ())
-        version = await store.take_shard(first, 0)
+        version = await store.take_over_shard(first, 0)
         fence = ShardFence(SHARD, version)
         job_version = await store.commit_records([WriteJob(JOB, 0, fence)], [])
         renewed = await store.write_shard(first.renewed(()), version)
         ended = JOB.with_outcomes({0: Outcome.DONE})
-        await store.take_shard(first.taken_over_by("b", ()), renewed)
+        await store.take_over_shard(first.taken_over_by("b", ()), renewed)
         late = [WriteJob(ended, job_version, fence)]
         with pytest.raises(CheckFailedError) as caught:
             await store.commit_records(late, [])
@@ -96,7 +96,7 @@
     async def run() -> int:
         store = Store(MemoryTable())
         row = ShardRow(SHARD).taken_over_by("a", ())
-        version = await store.take_shard(row, 0)
+        version = await store.take_over_shard(row, 0)
         await store.write_shard(row.renewed(()), version)
         return await store.commit_records(
             [WriteJob(JOB, 0, ShardFence(SHARD, version))], []
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -35,7 +35,7 @@
     """Guards against a write that took effect and is reported as failed."""
     table = LosingTable(losses=1)
     write = Transaction({"a": ABSENT}, {"a": {"n": 1}})
-    assert asyncio.run(table.commit_resolved(write)) == 1
+    assert asyncio.run(table.commit_and_resolve(write)) == 1
     assert table.scan("a").version == 1
 
 
@@ -44,7 +44,9 @@
     table = LosingTable(losses=0)
     table.apply(Transaction({"a": ABSENT}, {"a": {"n": 1}}))
     with pytest.raises(CheckFailedError):
-        asyncio.run(table.commit_resolved(Transaction({"a": ABSENT}, {"a": {"n": 2}})))
+        asyncio.run(
+            table.commit_and_resolve(Transaction({"a": ABSENT}, {"a": {"n": 2}}))
+        )
 
 
 def test_the_change_feed_shows_deletions_after_a_version() -> None:
