--- a/marjoramgrade/deployment.py
+++ b/marjoramgrade/deployment.py
@@ -16,11 +16,11 @@
 from marjoramgrade.settings import EntrySettings
 from marjoramgrade.settingsfile import KnownNames
 from marjoramgrade.structuring import (
-    FAULTS,
+    CONVERSION_ERRORS,
     InvalidValueError,
     Problem,
     StructHook,
-    ip_number,
+    ip_address,
     items,
     name,
     register_class,
@@ -116,7 +116,7 @@
 
 def _entry_hooks() -> dict[str, StructHook]:
     hooks = {f: settingsfile.SETTINGS_HOOKS[f] for f in _OWN_FIELDS}
-    return {**hooks, "host": ip_number()}
+    return {**hooks, "host": ip_address()}
 
 
 _converter = documents.converter.copy()
@@ -163,7 +163,7 @@
     """
     try:
         deployment = _converter.structure(document, Deployment)
-    except FAULTS as error:
+    except CONVERSION_ERRORS as error:
         raise settingsfile.settings_error(
             settingsfile.find_all_problems(error)
         ) from None
--- a/marjoramgrade/documents.py
+++ b/marjoramgrade/documents.py
@@ -34,7 +34,7 @@
 from marjoramgrade.structuring import (
     InvalidValueError,
     choice,
-    ip_number,
+    ip_address,
     items,
     name,
     register_class,
@@ -141,7 +141,7 @@
     Instance: {
         "instance_id": name(),
         "zone": name(),
-        "host": ip_number(),
+        "host": ip_address(),
         "port": whole_number(1, MAX_PORT),
         "rack": name(optional=True),
         "service": name(optional=True),
@@ -193,7 +193,7 @@
     """
     try:
         return converter.structure(document, kind)
-    except structuring.FAULTS as error:
+    except structuring.CONVERSION_ERRORS as error:
         problems = structuring.find_problems(error, path)
         raise _invalid(problems) from None
 
--- a/marjoramgrade/settingsfile.py
+++ b/marjoramgrade/settingsfile.py
@@ -19,7 +19,7 @@
     StructHook,
     choice,
     http_url,
-    ip_number,
+    ip_address,
     name,
     register_class,
     sha256,
@@ -40,12 +40,12 @@
 SETTINGS_HOOKS: Mapping[str, StructHook] = {
     "instance_id": name(),
     "zone": name(),
-    "host": ip_number(),
+    "host": ip_address(),
     "http_port": port,
     "peer_port": port,
     "platform_url": http_url,
     "shards_per_zone": whole_number(1, MAX_SHARDS_PER_ZONE),
-    "statsd_host": ip_number(optional=True),
+    "statsd_host": ip_address(optional=True),
     "statsd_port": port,
     "operator_key_sha256": sha256(optional=True),
     "max_body_bytes": whole_number(0, MAX_BODY_BYTES),
@@ -164,7 +164,7 @@
     converter = make_settings_converter(names)
     try:
         settings = converter.structure(document, EntrySettings)
-    except structuring.FAULTS as error:
+    except structuring.CONVERSION_ERRORS as error:
         raise settings_error(find_all_problems(error)) from None
     if settings.http_port == settings.peer_port:
         problem = structuring.Problem("peer_port", "must differ from http_port")
--- a/marjoramgrade/structuring.py
+++ b/marjoramgrade/structuring.py
@@ -54,7 +54,7 @@
     """A value that is outside its bound; becomes a `Problem`."""
 
 
-FAULTS = (
+CONVERSION_ERRORS = (
     ClassValidationError,
     IterableValidationError,
     ForbiddenExtraKeysError,
@@ -114,7 +114,7 @@
     return check
 
 
-def ip_number(*, optional: bool = False) -> StructHook:
+def ip_address(*, optional: bool = False) -> StructHook:
     """Return a hook for IP numbers; processes resolve no host names."""
     limit = text(MAX_NAME_LENGTH)
 
--- a/marjoramgrade/watching.py
+++ b/marjoramgrade/watching.py
@@ -18,7 +18,7 @@
     ShuttingDownError,
 )
 from marjoramgrade.structuring import (
-    FAULTS,
+    CONVERSION_ERRORS,
     InvalidValueError,
     find_problems,
     make_converter,
@@ -104,7 +104,7 @@
         if type(value) is dict and "reset" in value:
             raise _reset_error(_converter.structure(value, _Reset).version)
         return _converter.structure(value, WatchEvent)
-    except FAULTS as error:
+    except CONVERSION_ERRORS as error:
         first = find_problems(error)[0]
         raise ProtocolError(f"{first.path} {first.reason}") from None
     except InvalidInputError as error:
