--- a/marjoramgrade/actor.py
+++ b/marjoramgrade/actor.py
@@ -89,7 +89,7 @@
         )
         self._runner.add_done_callback(self._check_fatal)
 
-    def keep_running(self, work: Awaitable[Any]) -> None:
+    def spawn_critical(self, work: Awaitable[Any]) -> None:
         """Run a loop beside the mailbox; its failure is fatal to the process.
 
         An instance that goes on without one of its loops would hold leases
--- a/marjoramgrade/adapters/workerlink.py
+++ b/marjoramgrade/adapters/workerlink.py
@@ -57,7 +57,7 @@
 
     async def on_start(self) -> None:
         """Begin to connect."""
-        self.keep_running(self._keep_connected())
+        self.spawn_critical(self._keep_connected())
 
     async def on_stop(self) -> None:
         """Close the connection."""
--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -71,8 +71,8 @@
 
     async def on_start(self) -> None:
         """Begin to ask for promises and for admission."""
-        self.keep_running(self._ask_forever())
-        self.keep_running(self._seek_admission())
+        self.spawn_critical(self._ask_forever())
+        self.spawn_critical(self._seek_admission())
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -112,8 +112,8 @@
 
     async def on_start(self) -> None:
         """Start to write."""
-        self.keep_running(self._run())
-        self.keep_running(self._watch_store())
+        self.spawn_critical(self._run())
+        self.spawn_critical(self._watch_store())
 
     async def on_stop(self) -> None:
         """Tell those who wait that nobody writes for them any more."""
--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -86,7 +86,7 @@
 
     async def on_start(self) -> None:
         """Begin to read the table at intervals."""
-        self.keep_running(self._read_forever())
+        self.spawn_critical(self._read_forever())
 
     @handles(GetConfig)
     async def _get(self, message: GetConfig) -> ConfigConfirmed:
--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -92,7 +92,7 @@
 
     async def on_start(self) -> None:
         """Start to watch the operators' table."""
-        self.keep_running(
+        self.spawn_critical(
             self._watch(self._format.operator_table, self._operators_wrote, 0)
         )
 
--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -125,7 +125,7 @@
 
     async def on_start(self) -> None:
         """Begin to probe servers and to publish the load."""
-        self.keep_running(self._tick_forever())
+        self.spawn_critical(self._tick_forever())
 
     async def on_stop(self) -> None:
         """Refuse the requests that still wait; they have not run."""
--- a/marjoramgrade/controllers/instances.py
+++ b/marjoramgrade/controllers/instances.py
@@ -47,7 +47,7 @@
 
     async def on_start(self) -> None:
         """Begin to read the list."""
-        self.keep_running(self._read_forever())
+        self.spawn_critical(self._read_forever())
 
     @handles(GetInstances)
     async def _get(self, message: GetInstances) -> tuple[Instance, ...]:
--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -103,8 +103,8 @@
 
     async def on_start(self) -> None:
         """Begin to follow the change feed."""
-        self.keep_running(self._follow())
-        self.keep_running(self._forget_forever())
+        self.spawn_critical(self._follow())
+        self.spawn_critical(self._forget_forever())
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -145,7 +145,7 @@
 
     async def on_start(self) -> None:
         """Start to follow or to lead."""
-        self.keep_running(self._run())
+        self.spawn_critical(self._run())
 
     # What others tell
 
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -78,7 +78,7 @@
 
     async def on_start(self) -> None:
         """Begin to register and to read the register."""
-        self.keep_running(self._read_forever())
+        self.spawn_critical(self._read_forever())
 
     async def on_stop(self) -> None:
         """Leave the register and close the links."""
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -93,7 +93,7 @@
     async def on_start(self) -> None:
         """Begin to watch every shard of the zone."""
         for shard in self._state_by_shard:
-            self.keep_running(self._keep(shard))
+            self.spawn_critical(self._keep(shard))
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
--- a/marjoramgrade/controllers/peers.py
+++ b/marjoramgrade/controllers/peers.py
@@ -73,7 +73,7 @@
 
     async def on_start(self) -> None:
         """Start to look for other instances."""
-        self.keep_running(self._run())
+        self.spawn_critical(self._run())
 
     async def on_stop(self) -> None:
         """Close the links."""
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -45,7 +45,7 @@
 
     async def on_start(self) -> None:
         """Start to look."""
-        self.keep_running(self._run())
+        self.spawn_critical(self._run())
 
     @handles(StepConfigChanged)
     async def _config_changed(self, message: StepConfigChanged) -> None:
--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -119,7 +119,7 @@
 
     async def on_start(self) -> None:
         """Begin to send the summaries of owned shards to the peers."""
-        self.keep_running(self._send_summaries())
+        self.spawn_critical(self._send_summaries())
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -120,7 +120,7 @@
 
     async def on_start(self) -> None:
         """Begin to decide at every tick."""
-        self.keep_running(self._tick_forever())
+        self.spawn_critical(self._tick_forever())
 
     async def on_stop(self) -> None:
         """Close the connections to the workers."""
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -55,7 +55,7 @@
 
     async def on_start(self) -> None:
         """Start the clockwork."""
-        self.keep_running(self._tick_forever())
+        self.spawn_critical(self._tick_forever())
 
     @handles(SubmitStepJob)
     async def _submit(self, message: SubmitStepJob) -> Any:
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -91,7 +91,7 @@
 
     async def on_start(self) -> None:
         """Start to list the worker's runs."""
-        self.keep_running(self._keep_listing())
+        self.spawn_critical(self._keep_listing())
 
     async def on_stop(self) -> None:
         """Close the connections."""
--- a/tests/test_actor.py
+++ b/tests/test_actor.py
@@ -89,7 +89,7 @@
 
 class Failing(Actor):
     async def on_start(self) -> None:
-        self.keep_running(self._loop())
+        self.spawn_critical(self._loop())
 
     async def _loop(self) -> None:
         raise RuntimeError("a fault of the code")
