--- a/marjoramgrade/composition.py
+++ b/marjoramgrade/composition.py
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Parts:
+class ControllerSet:
     """The controllers of an entry instance."""
 
     authority: AuthorityController
@@ -62,7 +62,7 @@
     instances: InstancesController
     inbound: InboundController
 
-    def iter_inner(self) -> Iterator[Actor]:
+    def iter_before_join(self) -> Iterator[Actor]:
         """Yield the controllers to start before the instance becomes a member.
 
         Each is started after those that it tells or asks, so that the reverse
@@ -75,7 +75,7 @@
 
 
 @attrs.define
-class Composer:
+class ControllerBuilder:
     """Builds the parts of one entry instance.
 
     Attributes:
@@ -99,7 +99,7 @@
         count = self.settings.shards_per_zone
         return [f"{self.settings.zone}.{number}" for number in range(count)]
 
-    def compose(self) -> Parts:
+    def build_controllers(self) -> ControllerSet:
         """Return the parts, wired and not yet started."""
         settings, store = self.settings, Store(HttpTable(self.platform))
         own = Member(
@@ -141,7 +141,7 @@
         )
         routes.connect(members, dispatchers, schedulers)
         authority.connect(peers=members, config=config, ownership=ownership)
-        return Parts(
+        return ControllerSet(
             authority,
             record_writer,
             watch,
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -14,7 +14,7 @@
 from marjoramgrade.adapters.peerlink import PeerServer
 from marjoramgrade.adapters.platform import PlatformClient
 from marjoramgrade.clock import SystemClock
-from marjoramgrade.composition import Composer, Parts
+from marjoramgrade.composition import ControllerBuilder, ControllerSet
 from marjoramgrade.controllers.routes import SEND_INTERVAL_MS
 from marjoramgrade.decisions.placement import PLACEMENTS
 from marjoramgrade.decisions.preemption import PREEMPTIONS
@@ -51,7 +51,7 @@
         self._clock = SystemClock()
         self._metrics = metrics.from_config(settings.statsd_host, settings.statsd_port)
         self._state: FrontState | None = None
-        self._parts: Parts | None = None
+        self._controllers: ControllerSet | None = None
 
     @classmethod
     def from_config(cls, settings: EntrySettings) -> EntryInstance:
@@ -69,7 +69,7 @@
     async def __aexit__(self, *details: object) -> None:
         await self._stack.aclose()
 
-    async def wait_until(self, stop: asyncio.Event) -> bool:
+    async def wait_for_stop(self, stop: asyncio.Event) -> bool:
         """Wait for the request to stop, or for a failure of one of the parts.
 
         Returns:
@@ -85,16 +85,16 @@
 
     async def drain(self) -> None:
         """Refuse new requests, let running ones end and hand the shards over."""
-        assert self._state is not None and self._parts is not None
+        assert self._state is not None and self._controllers is not None
         logs.state_change("shutting_down")
         self._state.is_ready = False
         until_ms = self._clock.now_ms() + self._settings.shutdown_ms
         while self._state.in_flight and self._clock.now_ms() < until_ms:
             await asyncio.sleep(SHUTDOWN_POLL_MS / 1000)
-        dispatchers = self._parts.dispatcher_by_shard.values()
+        dispatchers = self._controllers.dispatcher_by_shard.values()
         await asyncio.gather(*(d.ask(DrainRequests()) for d in dispatchers))
-        await self._parts.ownership.ask(ReleaseShards())
-        await self._wait_for_new_owners(self._parts.routes)
+        await self._controllers.ownership.ask(ReleaseShards())
+        await self._wait_for_new_owners(self._controllers.routes)
 
     async def _wait_for_new_owners(self, routes: Actor) -> None:
         """Answer peers until they know that this instance owns nothing.
@@ -115,37 +115,39 @@
         self._stack.callback(platform.close)
         backends = BackendClient(settings.max_body_bytes)
         self._stack.callback(backends.close)
-        parts = Composer(settings, clock, counters, platform, backends).compose()
-        self._parts = parts
-        for actor in parts.iter_inner():
+        controllers = ControllerBuilder(
+            settings, clock, counters, platform, backends
+        ).build_controllers()
+        self._controllers = controllers
+        for actor in controllers.iter_before_join():
             await self._stack.add(actor)
-        peer_server = PeerServer(parts.inbound)
+        peer_server = PeerServer(controllers.inbound)
         peer_server.listen(settings.peer_port, address=settings.host)
         self._stack.push_async_callback(peer_server.close)
         # From here on peers find this instance, and it takes shards over.
-        await self._stack.add(parts.members)
-        await self._stack.add(parts.ownership)
-        self._listen(parts)
+        await self._stack.add(controllers.members)
+        await self._stack.add(controllers.ownership)
+        self._listen(controllers)
         flusher = asyncio.create_task(self._flush_forever())
         self._stack.callback(flusher.cancel)
         logs.state_change("started", zone=settings.zone)
 
-    def _listen(self, parts: Parts) -> None:
+    def _listen(self, controllers: ControllerSet) -> None:
         """Take requests of callers and operators."""
         settings = self._settings
         environment = Environment(
             settings,
             self._clock,
             self._metrics,
-            parts.config,
-            parts.routes,
-            parts.jobs,
-            parts.instances,
-            parts.watch,
+            controllers.config,
+            controllers.routes,
+            controllers.jobs,
+            controllers.instances,
+            controllers.watch,
         )
         self._state = FrontState(
             Chain.from_config(environment),
-            parts.watch,
+            controllers.watch,
             self._clock,
             self._metrics,
             settings.max_body_bytes,
@@ -169,7 +171,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     async with EntryInstance.from_config(settings) as instance:
-        is_working = await instance.wait_until(stop)
+        is_working = await instance.wait_for_stop(stop)
         if is_working:
             await instance.drain()
     logs.state_change("stopped", failed=not is_working)
