--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -18,7 +18,7 @@
     ReceivedPromises,
 )
 from marjoramgrade.errors import MarjoramgradeError, StaleAuthorityError
-from marjoramgrade.logs import state_change
+from marjoramgrade.logs import log_event
 from marjoramgrade.messages.configuration import ConfigConfirmed
 from marjoramgrade.messages.peers import CallPeer, Member, MembersChanged
 from marjoramgrade.messages.promises import (
@@ -93,7 +93,7 @@
         if given.is_table_reached == message.is_reachable:
             return
         given.is_table_reached = message.is_reachable
-        state_change("table_contact", reached=message.is_reachable)
+        log_event("table_contact", reached=message.is_reachable)
         if not message.is_reachable:
             self._round_due.set()
 
@@ -168,7 +168,7 @@
             )
             if is_admitted and not self._book.given.is_admitted:
                 self._book.given.is_admitted = True
-                state_change("admitted", members=len(self._member_by_id))
+                log_event("admitted", members=len(self._member_by_id))
 
     def _earlier_members(self) -> frozenset[str] | None:
         """Return the members that were registered first, None if not registered."""
--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -274,7 +274,7 @@
         if reachable == self._reachable:
             return
         self._reachable = reachable
-        logs.state_change("store_reachable" if reachable else "store_unreachable")
+        logs.log_event("store_reachable" if reachable else "store_unreachable")
         self._tell(StoreReachability(reachable))
 
     def _end(self, requests: list[_Request]) -> None:
--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -26,7 +26,7 @@
     TableUnavailableError,
     WriteOutcomeUnknownError,
 )
-from marjoramgrade.logs import state_change
+from marjoramgrade.logs import log_event
 from marjoramgrade.messages.configuration import (
     ChangeConfig,
     ConfigConfirmed,
@@ -141,7 +141,7 @@
             return
         if is_newer:
             self._row_version = stored.row_version
-            state_change("config_in_force", version=stored.config.version)
+            log_event("config_in_force", version=stored.config.version)
         self._read_version = max(self._read_version, stored.read_version)
         self._freshness.confirm(asked_ms)
         self._publish()
--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -150,11 +150,11 @@
                     changed(page.rows, False)
                     await asyncio.sleep(pause_ms / 1000)
             except HistoryLostError:
-                logs.state_change("history_lost", table=table, after=after or 0)
+                logs.log_event("history_lost", table=table, after=after or 0)
                 after = None
             except TableError as error:
                 self._metrics.retried("watch_failed")
-                logs.state_change("watch_failed", table=table, code=error.code)
+                logs.log_event("watch_failed", table=table, code=error.code)
                 await asyncio.sleep(RETRY_MS / 1000)
 
     async def _read_whole(self, table: str) -> tuple[tuple[StoredRow, ...], int]:
@@ -187,7 +187,7 @@
         if config is self._config and evacuated == self._evacuated:
             return
         if evacuated != self._evacuated:
-            logs.state_change("zones_evacuated", zones=",".join(sorted(evacuated)))
+            logs.log_event("zones_evacuated", zones=",".join(sorted(evacuated)))
         self._config, self._evacuated = config, frozenset(evacuated)
         self._tell(StepConfigChanged(config, self._evacuated))
         self._changed.set()
@@ -197,11 +197,11 @@
         try:
             read = self._format.parse_config(row.value)
         except InvalidInputError as error:
-            logs.state_change("config_unreadable", reason=error.message)
+            logs.log_event("config_unreadable", reason=error.message)
             return config
         if read.version <= config.version:
             return config
-        logs.state_change(
+        logs.log_event(
             "config_in_force",
             version=read.version,
             queues=len(read.queue_by_name),
@@ -221,7 +221,7 @@
             try:
                 worker = self._format.parse_worker(row.row.key, row.value)
             except InvalidInputError as error:
-                logs.state_change(
+                logs.log_event(
                     "worker_unreadable", worker=row.row.key, reason=error.message
                 )
                 self._worker_by_id.pop(row.row.key, None)
--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -159,7 +159,7 @@
             await asyncio.sleep(RETRY_MS / 1000)
         if was_sent:
             raise OutcomeUnknownError("the leader did not answer in time")
-        logs.state_change("request_refused", code=failure.code, leader=self._leader_id)
+        logs.log_event("request_refused", code=failure.code, leader=self._leader_id)
         raise NoLeaderError(f"no instance could take it: {failure.message}")
 
     async def _attempt(self, message: LeaderRequest, timeout_ms: int) -> Any:
--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -214,7 +214,7 @@
             return
         if isinstance(action, StopRun):
             self._metrics.count(f"stopped.{action.reason}")
-            logs.state_change(
+            logs.log_event(
                 "run_stopped",
                 job=action.task.job_id,
                 task=f"{action.task.occurrence}.{action.task.step}.{action.task.index}",
@@ -355,7 +355,7 @@
             progress.visible_state = state
             self._metrics.count(f"ended.{state.value}")
             self._metrics.timing("job", self._clock.now_ms() - progress.accepted_ms)
-            logs.state_change(
+            logs.log_event(
                 "job_ended",
                 job=progress.job.job_id,
                 queue=progress.job.queue,
@@ -384,7 +384,7 @@
             now_ms = self._clock.now_ms()
             channels.avoid(chosen, now_ms - began_ms, now_ms)
             is_reached = isinstance(error, AdvisorError)
-            logs.state_change(
+            logs.log_event(
                 "advice_failed", job=action.job_id, by=chosen, code=error.code
             )
         else:
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -91,7 +91,7 @@
         self._restore(lead, inheritance)
         self._lead = lead
         self._watch_workers(True)
-        logs.state_change(
+        logs.log_event(
             "lead_taken",
             epoch=message.epoch,
             jobs=len(state.job_by_id),
@@ -123,7 +123,7 @@
         lead, self._lead = self._lead, None
         if lead is None:
             return
-        logs.state_change("lead_ended", epoch=lead.epoch, reason=reason)
+        logs.log_event("lead_ended", epoch=lead.epoch, reason=reason)
         self._watch_workers(False)
         for link in lead.link_by_worker.values():
             # Calls of the old leadership are refused by fence; nothing waits for
@@ -205,7 +205,7 @@
         lead.state.set_workers(message.workers)
         for worker in message.workers:
             if worker.worker_id not in known:
-                logs.state_change(
+                logs.log_event(
                     "worker_joined",
                     worker=worker.worker_id,
                     zone=worker.zone,
@@ -222,7 +222,7 @@
             link = lead.link_by_worker.pop(worker_id, None)
             if link is not None:
                 self.spawn(link.stop())
-            logs.state_change("worker_left", worker=worker_id)
+            logs.log_event("worker_left", worker=worker_id)
 
     @handles(WorkerListingReceived)
     async def _worker_listed(self, message: WorkerListingReceived) -> None:
@@ -240,7 +240,7 @@
             self._clock.unix_ms(),
         )
         if worker.synced and not had_synced:
-            logs.state_change(
+            logs.log_event(
                 "worker_synced",
                 worker=message.worker_id,
                 fence=message.fence,
@@ -318,7 +318,7 @@
         if run is None:
             return
         self._metrics.retried("start_refused")
-        logs.state_change(
+        logs.log_event(
             "start_refused",
             job=message.task.job_id,
             worker=message.worker_id,
--- a/marjoramgrade/controllers/leaderrecovery.py
+++ b/marjoramgrade/controllers/leaderrecovery.py
@@ -49,7 +49,7 @@
         try:
             return await _read(store)
         except TableUnavailableError as error:
-            logs.state_change("takeover_waits", reason=error.message)
+            logs.log_event("takeover_waits", reason=error.message)
             await asyncio.sleep(RETRY_MS / 1000)
 
 
@@ -68,7 +68,7 @@
         try:
             job = parse_row(row.value, JobRow)
         except InvalidInputError as error:
-            logs.state_change("row_unreadable", row=row.row.key, reason=error.message)
+            logs.log_event("row_unreadable", row=row.row.key, reason=error.message)
             continue
         recovered_jobs.append((job, record_by_id.get(row.row.key, JobRecord())))
     roster: tuple[StepWorker, ...] = ()
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -158,7 +158,7 @@
         if message.epoch < self._leader.epoch:
             return
         if message.leader_id != self._leader.leader_id or not self._heard_ms:
-            logs.state_change(
+            logs.log_event(
                 "leader_heard", leader=message.leader_id, epoch=message.epoch
             )
         self._heard_ms = self._clock.now_ms()
@@ -186,9 +186,7 @@
             await self._probe.has_process_ended(leader.leader_id)
             and leader == self._leader
         ):
-            logs.state_change(
-                "leader_ended", leader=leader.leader_id, epoch=leader.epoch
-            )
+            logs.log_event("leader_ended", leader=leader.leader_id, epoch=leader.epoch)
             self._ended_epoch = leader.epoch
             self._heard_ms = 0
             self._wake.set()
@@ -239,7 +237,7 @@
             )
         except MarjoramgradeError as error:
             # The successor notices the silence instead.
-            logs.state_change("lead_release_failed", code=error.code)
+            logs.log_event("lead_release_failed", code=error.code)
         self._peers.tell(TellPeers(LeaderLeft(epoch)))
 
     # Following and leading
@@ -359,7 +357,7 @@
         try:
             leader = parse_row(row.value, LeaderRow)
         except InvalidInputError as error:
-            logs.state_change("row_unreadable", row="epoch", reason=error.message)
+            logs.log_event("row_unreadable", row="epoch", reason=error.message)
             leader = self._watch.row
         self._watch.record_row(leader, row.version, now_ms)
 
@@ -421,7 +419,7 @@
             # The next look at the rows tells whether it took effect.
             return
         except TableError as error:
-            logs.state_change("lead_not_taken", epoch=epoch, code=error.code)
+            logs.log_event("lead_not_taken", epoch=epoch, code=error.code)
             return
         await self._begin(epoch, answer.version)
 
@@ -449,7 +447,7 @@
         self._tell(LeaderChanged(row.leader_id, row.epoch))
 
     def _lose(self, reason: str) -> None:
-        logs.state_change("lead_lost", epoch=self._own_epoch, reason=reason)
+        logs.log_event("lead_lost", epoch=self._own_epoch, reason=reason)
         epoch, self._own_epoch = self._own_epoch, 0
         self._heard_ms = self._clock.now_ms()
         if self._leader.leader_id == self._instance_id:
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -16,7 +16,7 @@
     StaleAuthorityError,
     TableError,
 )
-from marjoramgrade.logs import state_change
+from marjoramgrade.logs import log_event
 from marjoramgrade.messages.instances import InstancesChanged
 from marjoramgrade.messages.peers import (
     CallOverLink,
@@ -150,13 +150,13 @@
             await self._store.delete_member(member)
         finally:
             self._authority.tell(EndWrite(write_id))
-        state_change("member_removed", member=member)
+        log_event("member_removed", member=member)
 
     async def _apply(self, members: tuple[Member, ...]) -> None:
         found = {m.instance_id: m for m in members}
         if found == self._member_by_id:
             return
-        state_change("members_changed", members=sorted(found))
+        log_event("members_changed", members=sorted(found))
         self._member_by_id = found
         for gone in set(self._link_by_id) - set(found):
             await self._link_by_id.pop(gone).stop()
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -24,7 +24,7 @@
     TableError,
     TableUnavailableError,
 )
-from marjoramgrade.logs import state_change
+from marjoramgrade.logs import log_event
 from marjoramgrade.messages.ownership import OwnershipChanged, ReleaseShards
 from marjoramgrade.messages.peers import MembersChanged
 from marjoramgrade.messages.promises import (
@@ -169,7 +169,7 @@
         state.fence_version = state.version
         state.lease = HeldLease(row.epoch)
         state.lease.confirm(asked_ms)
-        state_change("shard_taken", shard=row.shard, epoch=row.epoch)
+        log_event("shard_taken", shard=row.shard, epoch=row.epoch)
         self._publish(state.row.shard, state.lease)
 
     async def _renew(self, state: _ShardState, lease: HeldLease) -> None:
@@ -218,7 +218,7 @@
         lease.revoke()
         state.lease = None
         state.watch = ObservedLease()
-        state_change("shard_lost", shard=state.row.shard, epoch=lease.epoch)
+        log_event("shard_lost", shard=state.row.shard, epoch=lease.epoch)
         self._authority.tell(ShardOwnershipEnded(state.row.shard))
         self._publish(state.row.shard, lease)
 
--- a/marjoramgrade/controllers/peers.py
+++ b/marjoramgrade/controllers/peers.py
@@ -100,7 +100,7 @@
                 await self._refresh()
                 looks += 1
             except TableError as error:
-                logs.state_change("members_unread", code=error.code)
+                logs.log_event("members_unread", code=error.code)
             pause_ms = FIRST_REFRESH_MS if looks < FIRST_REFRESHES else REFRESH_MS
             await asyncio.sleep(pause_ms / 1000)
 
@@ -129,9 +129,7 @@
             try:
                 member = parse_row(row.value, MemberRow)
             except InvalidInputError as error:
-                logs.state_change(
-                    "row_unreadable", row=row.row.key, reason=error.message
-                )
+                logs.log_event("row_unreadable", row=row.row.key, reason=error.message)
                 continue
             found[member.instance_id] = Member(
                 member.instance_id,
@@ -157,6 +155,6 @@
                 await link.start()
                 self._link_by_id[instance_id] = link
         self._member_by_id = found
-        logs.state_change("members_changed", members=",".join(sorted(found)))
+        logs.log_event("members_changed", members=",".join(sorted(found)))
         for subscriber in self._subscribers:
             subscriber.tell(MembersChanged(tuple(found.values())))
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -74,7 +74,7 @@
             ready = self._has_config and is_led
             if ready != self._signal.is_ready:
                 self._signal.is_ready = ready
-                logs.state_change(
+                logs.log_event(
                     "ready" if ready else "not_ready",
                     leader=self._leader_id,
                     unheard=unheard_ms,
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -15,7 +15,7 @@
 from marjoramgrade.controllers.zonedrain import ZoneDrain
 from marjoramgrade.decisions.fencing import WORKER_LEASE_MS
 from marjoramgrade.errors import CheckFailedError, MarjoramgradeError, NotOwnerError
-from marjoramgrade.logs import state_change
+from marjoramgrade.logs import log_event
 from marjoramgrade.messages.configuration import ConfigConfirmed
 from marjoramgrade.messages.instances import InstancesChanged
 from marjoramgrade.messages.jobs import (
@@ -179,7 +179,7 @@
         for stored in self._early_jobs:
             self._state.apply_job(stored, self._clock.now_ms())
         self._early_jobs.clear()
-        state_change("shard_loaded", shard=self._shard, jobs=len(message.jobs))
+        log_event("shard_loaded", shard=self._shard, jobs=len(message.jobs))
         await self._sync_workers(self._state)
 
     @handles(RosterWritten)
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -95,7 +95,7 @@
             lead.state.remove_job(job.job_id)
             raise
         progress.stored = True
-        logs.state_change(
+        logs.log_event(
             "job_accepted",
             job=job.job_id,
             queue=job.queue,
@@ -154,7 +154,7 @@
     ) -> StepJobShown:
         if not progress.state.is_final:
             lead.state.cancel_job(progress, self._clock.unix_ms())
-            logs.state_change("job_cancelled", job=progress.job.job_id)
+            logs.log_event("job_cancelled", job=progress.job.job_id)
             stored = self._save_changed_jobs(lead, None)
             self._perform_actions(lead)
             self._schedule_plan(lead)
@@ -204,7 +204,7 @@
         usable = [worker for worker in workers if worker.accepts_work(now_ms)]
         capacity = sum(worker.worker.capacity.cpu_millis for worker in usable)
         waiting = sorted(lead.planner.waiting_by_reason.items())
-        logs.state_change(
+        logs.log_event(
             "load",
             open=len(lead.state.open_job_by_id),
             waiting=",".join(f"{reason}={count}" for reason, count in waiting),
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -163,7 +163,7 @@
         except (WorkerUnreachableError, WorkerReplacedError) as error:
             return StartOutcome.REFUSED, error.code
         except WorkerUnresponsiveError as error:
-            logs.state_change(
+            logs.log_event(
                 "start_unanswered",
                 job=message.order.task.job_id,
                 worker=self._worker_id,
@@ -189,7 +189,7 @@
             self._log_failure("pace_failed", message.task.job_id, error)
 
     def _log_failure(self, event: str, job_id: str, error: WorkerError) -> None:
-        logs.state_change(
+        logs.log_event(
             event,
             job=job_id,
             worker=self._worker_id,
@@ -279,7 +279,7 @@
         for end in listing.ended:
             self._last_end = max(self._last_end, end.number)
         if self._failures >= FAILURES_TO_UNRESPONSIVE:
-            logs.state_change("worker_answers", worker=self._worker_id)
+            logs.log_event("worker_answers", worker=self._worker_id)
         self._failures = 0
         self._reported_expiry = False
 
@@ -287,7 +287,7 @@
         self._failures += 1
         self._scheduler.tell(WorkerCallUnanswered(self._worker_id))
         if self._failures == FAILURES_TO_UNRESPONSIVE:
-            logs.state_change(
+            logs.log_event(
                 "worker_silent",
                 worker=self._worker_id,
                 code=error.code,
@@ -300,7 +300,7 @@
         if self._failures >= FAILURES_TO_UNRESPONSIVE and not self._reported_expiry:
             self._reported_expiry = expired
             if expired:
-                logs.state_change("worker_expired", worker=self._worker_id)
+                logs.log_event("worker_expired", worker=self._worker_id)
             self._scheduler.tell(WorkerUnresponsive(self._worker_id, expired))
         return False
 
--- a/marjoramgrade/controllers/storerouter.py
+++ b/marjoramgrade/controllers/storerouter.py
@@ -199,7 +199,7 @@
         if not self._is_direct:
             return
         self._is_direct = False
-        logs.state_change("store_lost", reason=reason)
+        logs.log_event("store_lost", reason=reason)
         self._tell(StorePathStatus(False, False))
         self.spawn(self._probe())
 
@@ -212,7 +212,7 @@
         if self._is_direct:
             return
         self._is_direct = True
-        logs.state_change("store_regained")
+        logs.log_event("store_regained")
         self._tell(StorePathStatus(True, False))
 
     def _tell(self, message: Message[None]) -> None:
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -86,7 +86,7 @@
     async def drain(self) -> None:
         """Refuse new requests, let running ones end and hand the shards over."""
         assert self._state is not None and self._controllers is not None
-        logs.state_change("shutting_down")
+        logs.log_event("shutting_down")
         self._state.is_ready = False
         until_ms = self._clock.now_ms() + self._settings.shutdown_ms
         while self._state.in_flight and self._clock.now_ms() < until_ms:
@@ -130,7 +130,7 @@
         self._listen(controllers)
         flusher = asyncio.create_task(self._flush_forever())
         self._stack.callback(flusher.cancel)
-        logs.state_change("started", zone=settings.zone)
+        logs.log_event("started", zone=settings.zone)
 
     def _listen(self, controllers: ControllerSet) -> None:
         """Take requests of callers and operators."""
@@ -174,7 +174,7 @@
         is_working = await instance.wait_for_stop(stop)
         if is_working:
             await instance.drain()
-    logs.state_change("stopped", failed=not is_working)
+    logs.log_event("stopped", failed=not is_working)
     if not is_working:
         raise SystemExit(1)
 
--- a/marjoramgrade/exposition.py
+++ b/marjoramgrade/exposition.py
@@ -46,7 +46,7 @@
         ]
 
 
-class ServedMetrics(Metrics):
+class PrometheusMetrics(Metrics):
     """Counters, gauges and latency histograms that others fetch."""
 
     def __init__(self) -> None:
--- a/marjoramgrade/logs.py
+++ b/marjoramgrade/logs.py
@@ -116,7 +116,7 @@
     _route_library_errors()
 
 
-def state_change(event: str, **fields: object) -> None:
+def log_event(event: str, **fields: object) -> None:
     """Write one line about a decision or a change of state.
 
     Args:
@@ -146,7 +146,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         cause = record.exc_info[1] if record.exc_info else None
-        state_change(
+        log_event(
             "library_error",
             library=record.name,
             message=record.getMessage(),
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -29,7 +29,7 @@
 )
 from marjoramgrade.controllers.storerouter import StoreRouter
 from marjoramgrade.errors import SettingsError
-from marjoramgrade.exposition import ServedMetrics
+from marjoramgrade.exposition import PrometheusMetrics
 from marjoramgrade.filters.chain import Chain
 from marjoramgrade.filters.queues import (
     DEFAULT_QUEUE_FILTERS,
@@ -66,7 +66,7 @@
     def __init__(self, settings: NodeSettings) -> None:
         self._settings = settings
         self._clock = SystemClock()
-        self._metrics = ServedMetrics()
+        self._metrics = PrometheusMetrics()
         self._stack = ActorGroup()
         self._ready = ReadyFront()
         self._front: ClientFront | None = None
@@ -222,12 +222,12 @@
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path, settings)
     async with EntryNode.from_config(settings) as node:
-        logs.state_change("started", zone=settings.zone)
+        logs.log_event("started", zone=settings.zone)
         waits = [asyncio.ensure_future(e.wait()) for e in (stop, node.failed)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
-        logs.state_change("stopping", failed=str(node.failed.is_set()))
+        logs.log_event("stopping", failed=str(node.failed.is_set()))
         if not node.failed.is_set():
             await node.drain()
     return 1 if node.failed.is_set() else 0
@@ -238,9 +238,9 @@
     try:
         changed = read_settings(path) != current
     except SettingsError as error:
-        logs.state_change("settings_unreadable", reason=error.message)
+        logs.log_event("settings_unreadable", reason=error.message)
         return
-    logs.state_change("settings_reloaded", changed=str(changed))
+    logs.log_event("settings_reloaded", changed=str(changed))
 
 
 def main() -> int:
--- a/marjoramgrade/platform/front.py
+++ b/marjoramgrade/platform/front.py
@@ -135,7 +135,7 @@
             return 200, serialize_answer(await self.chain.handle(context))
         except MarjoramgradeError as error:
             status = status_of(error)
-            logs.state_change(
+            logs.log_event(
                 "request_failed",
                 method=request.method or "",
                 path=request.path[-40:],
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -1,11 +1,11 @@
 """Metrics as text."""
 
-from marjoramgrade.exposition import ServedMetrics
+from marjoramgrade.exposition import PrometheusMetrics
 
 
 def test_counts_and_times_are_shown():
     # Guards against an operator who sees no reason and no latency.
-    metrics = ServedMetrics()
+    metrics = PrometheusMetrics()
     metrics.retried("start_refused")
     metrics.timing("commit", 15)
     metrics.timing("commit", 900)
@@ -17,7 +17,7 @@
 
 def test_a_histogram_counts_a_time_in_every_bucket_that_it_does_not_exceed():
     # Guards against percentiles on a dashboard that are off by one bucket.
-    metrics = ServedMetrics()
+    metrics = PrometheusMetrics()
     for elapsed_ms in (1, 1.5, 60_000, 90_000):
         metrics.timing("job", elapsed_ms)
     text = metrics.render().decode()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -18,7 +18,7 @@
     """Guards against lines that log readers cannot split or parse."""
     stream = io.StringIO()
     logs.configure(stream, instance_id="leeds-entry-1")
-    logs.state_change("shard_taken", shard="leeds.0", epoch=3, reason="a\nb")
+    logs.log_event("shard_taken", shard="leeds.0", epoch=3, reason="a\nb")
     (line,) = lines_of(stream)
     assert line.pop("timestamp")
     assert line == {
@@ -58,10 +58,10 @@
     monkeypatch.setattr(logs, "_budget", logs._LineBudget())
     monkeypatch.setattr(logs.time, "monotonic", lambda: 7.0)
     for _ in range(logs.MAX_LINES_PER_S + 25):
-        logs.state_change("start_refused")
-    logs.state_change("other")
+        logs.log_event("start_refused")
+    logs.log_event("other")
     monkeypatch.setattr(logs.time, "monotonic", lambda: 8.0)
-    logs.state_change("other")
+    logs.log_event("other")
     events = [json.loads(line)["event"] for line in stream.getvalue().splitlines()]
     assert events.count("start_refused") == logs.MAX_LINES_PER_S
     assert events[-3:] == ["other", "lines_left_out", "other"]
