--- a/bench/driver.py
+++ b/bench/driver.py
@@ -20,7 +20,7 @@
 from marjoramgrade.decisions.tasks import QueuedTask
 from marjoramgrade.model import JobKind, TaskId
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 TICK_MS = 50
 BUDGET = 1_000
@@ -54,7 +54,7 @@
     """
 
     deployment: Deployment
-    policies: Policies
+    policies: PolicyNames
     randomness: Random
     clock: ManualClock = attrs.field(factory=ManualClock)
     schedulers: list[Scheduler] = attrs.field(init=False)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -17,12 +17,12 @@
 from bench.driver import TICK_MS, Cell, keep_backlog
 from marjoramgrade.decisions.shares import fair_shares
 from marjoramgrade.resources import Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 SEED = 20_26
-OURS = Policies()
-FIFO_FIRST_FIT = Policies(queue_order="fifo", placement="first_fit")
-NO_PREEMPTION = Policies(preemption="none")
+OURS = PolicyNames()
+FIFO_FIRST_FIT = PolicyNames(queue_order="fifo", placement="first_fit")
+NO_PREEMPTION = PolicyNames(preemption="none")
 POLICIES = {
     "ours": OURS,
     "fifo+first_fit": FIFO_FIRST_FIT,
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -23,7 +23,7 @@
 from marjoramgrade.decisions.workers import WorkerNode
 from marjoramgrade.model import JobKind, Priority, TaskId, Team
 from marjoramgrade.resources import Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 SEED = 7
 WORKERS = 2_000
@@ -63,7 +63,7 @@
     @classmethod
     def from_size(cls, workers: int, placement: str) -> Load:
         """Return a scheduler with workers, and with 6.5 tasks on each."""
-        policies = {kind: Policies(placement=placement) for kind in JobKind}
+        policies = {kind: PolicyNames(placement=placement) for kind in JobKind}
         load = cls(Scheduler.from_config(policies), Random(SEED))
         load.scheduler.set_teams([Team(f"t-{n}", 1 + n % 5) for n in range(TEAMS)])
         for number in range(workers):
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -37,7 +37,7 @@
 )
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config, Instance, InstanceKind, JobKind
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 from marjoramgrade.store import Store, StoredRoster
 
 TICK_MS = 25
@@ -87,7 +87,7 @@
         shard: str,
         instance_id: str,
         is_member: Callable[[Instance], bool],
-        policies_by_kind: Mapping[JobKind, Policies],
+        policies_by_kind: Mapping[JobKind, PolicyNames],
         store: Store,
         record_writer: Actor,
         make_link: MakeLink,
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -41,7 +41,7 @@
     TaskId,
 )
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 from marjoramgrade.store import StoredRoster
 
 MAX_STARTS_PER_TICK = 500
@@ -89,7 +89,7 @@
     def from_rows(
         cls,
         fence: ShardFence,
-        policies_by_kind: Mapping[JobKind, Policies],
+        policies_by_kind: Mapping[JobKind, PolicyNames],
         grants: GrantManager,
         roster: StoredRoster,
         jobs: Iterable[StoredJob],
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -27,7 +27,7 @@
 from marjoramgrade.decisions.workers import WorkerNode, WorkerPool
 from marjoramgrade.model import JobKind, TaskId, Team
 from marjoramgrade.resources import Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 __all__ = ["Decision", "EndStatus", "Scheduler", "StartTask", "StopMode", "StopTask"]
 
@@ -59,7 +59,7 @@
     @classmethod
     def from_config(
         cls,
-        policies_by_kind: Mapping[JobKind, Policies],
+        policies_by_kind: Mapping[JobKind, PolicyNames],
         may_start: MayStart = _always,
     ) -> Scheduler:
         """Return a scheduler with the policies that settings name.
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -20,7 +20,7 @@
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.model import JobKind, TaskId
 from marjoramgrade.resources import Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 WAITING_AT_LIMIT = "waiting: team at its upper limit"
 WAITING_FOR_CAPACITY = "waiting: no worker has room"
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, policies_by_kind: Mapping[JobKind, Policies], may_start: MayStart
+        self, policies_by_kind: Mapping[JobKind, PolicyNames], may_start: MayStart
     ) -> None:
         self.pool = WorkerPool()
         self.shares = TeamShares()
@@ -191,7 +191,7 @@
                     reservation, reservation.entry.not_before_ms, note
                 )
 
-    def _policy_from(self, policies: Policies) -> KindPolicy:
+    def _policy_from(self, policies: PolicyNames) -> KindPolicy:
         # Kinds with the same order share a queue, so that shares hold across kinds.
         queue = self._queue_by_order.get(policies.queue_order)
         if queue is None:
--- a/marjoramgrade/settings.py
+++ b/marjoramgrade/settings.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Policies:
+class PolicyNames:
     """Names of the policies of one kind of work, looked up in registries."""
 
     queue_order: str = "weighted_drf"
@@ -29,8 +29,8 @@
     retry: str = "task_backoff"
 
 
-def _default_policies() -> Mapping[JobKind, Policies]:
-    return {kind: Policies() for kind in JobKind}
+def _default_policies() -> Mapping[JobKind, PolicyNames]:
+    return {kind: PolicyNames() for kind in JobKind}
 
 
 @attrs.frozen
@@ -73,6 +73,6 @@
     ended_job_retention_ms: int = 86_400_000
     shutdown_ms: int = 30_000
     filters: tuple[str, ...] = DEFAULT_FILTERS
-    policies_by_kind: Mapping[JobKind, Policies] = attrs.field(
+    policies_by_kind: Mapping[JobKind, PolicyNames] = attrs.field(
         factory=_default_policies
     )
--- a/marjoramgrade/settingsfile.py
+++ b/marjoramgrade/settingsfile.py
@@ -13,7 +13,7 @@
 from marjoramgrade.errors import InvalidInputError, SettingsError, SettingsProblem
 from marjoramgrade.model import JobKind
 from marjoramgrade.registry import Registry
-from marjoramgrade.settings import EntrySettings, Policies
+from marjoramgrade.settings import EntrySettings, PolicyNames
 from marjoramgrade.structuring import (
     InvalidValueError,
     StructHook,
@@ -61,7 +61,7 @@
 
     Attributes:
         filters: Names of request filters.
-        policies_by_field: For each field of `Policies`, the names of its registry.
+        policies_by_field: For each field of `PolicyNames`, the names of its registry.
     """
 
     filters: Collection[str]
@@ -75,12 +75,12 @@
 
         Args:
             filters: The registry of request filters.
-            registry_by_field: The registry of each field of `Policies`, all given.
+            registry_by_field: The registry of each field of `PolicyNames`, all given.
 
         Raises:
-            TypeError: If a field of `Policies` has no registry here.
+            TypeError: If a field of `PolicyNames` has no registry here.
         """
-        fields = {field.name for field in attrs.fields(Policies)}
+        fields = {field.name for field in attrs.fields(PolicyNames)}
         if fields != set(registry_by_field):
             raise TypeError(f"registries are needed for exactly {sorted(fields)}")
         names = {field: list(r.iter_names()) for field, r in registry_by_field.items()}
@@ -100,12 +100,12 @@
 
 
 def make_settings_converter(names: KnownNames) -> Converter:
-    """Return a strict converter for `Policies` and `EntrySettings`."""
+    """Return a strict converter for `PolicyNames` and `EntrySettings`."""
     converter = structuring.make_converter()
     converter.register_structure_hook(JobKind, choice(JobKind))
     known = names.policies_by_field
     register_class(
-        converter, Policies, {field: one_of(known[field]) for field in known}
+        converter, PolicyNames, {field: one_of(known[field]) for field in known}
     )
     list_hooks = {
         "filters": _filters(names),
@@ -132,11 +132,11 @@
 def policies_hook(converter: Converter) -> StructHook:
     """Return a hook that gives kinds of work left out their default policies."""
 
-    def check(value: Any, _: Any = None) -> Mapping[JobKind, Policies]:
+    def check(value: Any, _: Any = None) -> Mapping[JobKind, PolicyNames]:
         if type(value) is not dict:
             raise InvalidValueError("must be an object")
-        given = converter.structure(value, dict[JobKind, Policies])
-        return {kind: given.get(kind, Policies()) for kind in JobKind}
+        given = converter.structure(value, dict[JobKind, PolicyNames])
+        return {kind: given.get(kind, PolicyNames()) for kind in JobKind}
 
     return check
 
--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -6,7 +6,7 @@
 from marjoramgrade.decisions.workers import WorkerNode, WorkerPool
 from marjoramgrade.model import JobKind, Priority, TaskId
 from marjoramgrade.resources import Resources
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 
 
 def amount(cores: int, gib: int = 0, accelerators: int = 0) -> Resources:
@@ -52,7 +52,9 @@
 
 
 def scheduler_of(*nodes: WorkerNode, **policies: str) -> Scheduler:
-    scheduler = Scheduler.from_config({kind: Policies(**policies) for kind in JobKind})
+    scheduler = Scheduler.from_config(
+        {kind: PolicyNames(**policies) for kind in JobKind}
+    )
     for each in nodes:
         scheduler.add_worker(each)
     return scheduler
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from marjoramgrade import cli, errors
 from marjoramgrade.adapters.httperrors import status_of
 from marjoramgrade.commands.session import ExitCode, exit_code_of
-from marjoramgrade.settings import EntrySettings, Policies
+from marjoramgrade.settings import EntrySettings, PolicyNames
 
 DOCS = pathlib.Path(__file__).parent.parent / "docs"
 WORDS = (
@@ -71,7 +71,7 @@
 def test_every_setting_and_policy_is_explained() -> None:
     """Guards against settings that operators cannot look up."""
     listed = set(first_cells("settings.md"))
-    for kind in (EntrySettings, Policies):
+    for kind in (EntrySettings, PolicyNames):
         assert {field.name for field in attrs.fields(kind)} <= listed
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,7 +6,7 @@
 from marjoramgrade.decisions.scheduler import Scheduler
 from marjoramgrade.decisions.tasks import RunningTask
 from marjoramgrade.model import JobKind, TaskId, Team
-from marjoramgrade.settings import Policies
+from marjoramgrade.settings import PolicyNames
 from tests.scheduling import node, queued, scheduler_of, started, stopped
 
 
@@ -99,7 +99,7 @@
 
 def test_the_limit_hook_is_asked_with_the_use_so_far() -> None:
     """Guards against a team that passes its limit within one step."""
-    policies = {kind: Policies() for kind in JobKind}
+    policies = {kind: PolicyNames() for kind in JobKind}
 
     def may_start(team, resources) -> bool:
         return scheduler.shares.usage_of(team).cpu_millis + resources.cpu_millis <= 2000
--- a/tests/test_settingsfile.py
+++ b/tests/test_settingsfile.py
@@ -10,10 +10,10 @@
 from marjoramgrade.errors import SettingsError
 from marjoramgrade.model import JobKind
 from marjoramgrade.registry import Registry
-from marjoramgrade.settings import DEFAULT_FILTERS, EntrySettings, Policies
+from marjoramgrade.settings import DEFAULT_FILTERS, EntrySettings, PolicyNames
 from tests import strategies
 
-DEFAULT = Policies()
+DEFAULT = PolicyNames()
 NAMES = settingsfile.KnownNames(
     DEFAULT_FILTERS,
     {
