--- a/marjoramgrade/deployment.py
+++ b/marjoramgrade/deployment.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class EntryPlan:
+class EntrySpec:
     """One entry instance: what differs between the instances of a cell."""
 
     instance_id: str
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class WorkerPlan:
+class WorkersSpec:
     """The workers of a cell.
 
     Attributes:
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class BackendPlan:
+class BackendsSpec:
     """The backend servers of one service, each with one runner.
 
     Attributes:
@@ -97,15 +97,15 @@
     name: str
     title: str
     settings: dict[str, Any]
-    entries: tuple[EntryPlan, ...]
+    entries: tuple[EntrySpec, ...]
     zones: tuple[Zone, ...]
     teams: tuple[Team, ...]
     services: tuple[Service, ...]
-    workers: WorkerPlan
-    backends: tuple[BackendPlan, ...] = ()
+    workers: WorkersSpec
+    backends: tuple[BackendsSpec, ...] = ()
 
 
-_OWN_FIELDS = frozenset(field.name for field in attrs.fields(EntryPlan))
+_OWN_FIELDS = frozenset(field.name for field in attrs.fields(EntrySpec))
 
 
 def _shared_settings(value: Any, _: Any = None) -> dict[str, Any]:
@@ -120,10 +120,10 @@
 
 
 _converter = documents.converter.copy()
-register_class(_converter, EntryPlan, _entry_hooks())
+register_class(_converter, EntrySpec, _entry_hooks())
 register_class(
     _converter,
-    WorkerPlan,
+    WorkersSpec,
     {
         "count": whole_number(0, MAX_INSTANCES),
         "per_rack": whole_number(1, MAX_INSTANCES),
@@ -131,7 +131,7 @@
 )
 register_class(
     _converter,
-    BackendPlan,
+    BackendsSpec,
     {
         "service": name(),
         "count": whole_number(0, MAX_INSTANCES),
@@ -146,11 +146,11 @@
         "name": name(),
         "title": text(200),
         "settings": _shared_settings,
-        "entries": items(EntryPlan, MAX_ENTRIES)(_converter),
+        "entries": items(EntrySpec, MAX_ENTRIES)(_converter),
         "zones": items(Zone, MAX_ZONES)(_converter),
         "teams": items(Team, MAX_TEAMS)(_converter),
         "services": items(Service, MAX_TEAMS)(_converter),
-        "backends": items(BackendPlan, MAX_TEAMS)(_converter),
+        "backends": items(BackendsSpec, MAX_TEAMS)(_converter),
     },
 )
 
