--- a/marjoramgrade/api.py
+++ b/marjoramgrade/api.py
@@ -14,13 +14,13 @@
 from marjoramgrade.errors import InvalidInputError, OutcomeUnknownError, ProtocolError
 from marjoramgrade.model import Job, JobSpec
 from marjoramgrade.resourcekinds import KEYS, ResourceKind
-from marjoramgrade.transport import Answer, Transport
+from marjoramgrade.transport import Response, Transport
 from marjoramgrade.watching import WatchEvent
 
 T = TypeVar("T")
 DEFAULT_DEADLINE_MS = 10_000
 # The server answers at the deadline; the rest is for the way back.
-ANSWER_MARGIN_MS = 2_000
+RESPONSE_MARGIN_MS = 2_000
 
 
 @attrs.frozen
@@ -220,7 +220,7 @@
             _path("run", service),
             body=body,
             headers=headers,
-            timeout_ms=deadline_ms + ANSWER_MARGIN_MS,
+            timeout_ms=deadline_ms + RESPONSE_MARGIN_MS,
         )
         return answer.body
 
@@ -235,7 +235,7 @@
 
     async def _put(
         self, path: str, document: Document, expected_version: int | None
-    ) -> Answer:
+    ) -> Response:
         return await self._send_document("PUT", path, document, expected_version)
 
     async def _send_document(
@@ -244,7 +244,7 @@
         path: str,
         document: Document,
         expected_version: int | None = None,
-    ) -> Answer:
+    ) -> Response:
         headers = {"Content-Type": "application/json", **_if_match(expected_version)}
         body = jsontext.serialize_text(document).encode()
         return await self._transport.send(method, path, body=body, headers=headers)
@@ -274,7 +274,7 @@
     return {} if expected_version is None else {"If-Match": str(expected_version)}
 
 
-def _object(answer: Answer) -> dict[str, Any]:
+def _object(answer: Response) -> dict[str, Any]:
     document = answer.document()
     if type(document) is not dict:
         raise ProtocolError("the answer is not an object")
@@ -292,7 +292,7 @@
     return _parsed(_JOBS, document)
 
 
-def _parse_listing(answer: Answer, kind: ResourceKind[T]) -> Listing[T]:
+def _parse_listing(answer: Response, kind: ResourceKind[T]) -> Listing[T]:
     document = _object(answer)
     version, items = document.get("version"), document.get("items")
     if type(version) is not int or type(items) is not list:
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -33,7 +33,7 @@
 MAX_LINE_BYTES = 2 * 1_048_576
 MAX_ERROR_BYTES = 65_536
 # Few chunks wait for a slow reader; the connection holds back the rest.
-MAX_WAITING_CHUNKS = 4
+MAX_BUFFERED_CHUNKS = 4
 
 _SENT_TIMEOUT = "Timeout during request"
 
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """The answer to a request.
 
     Attributes:
@@ -106,7 +106,7 @@
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
         timeout_ms: int = REQUEST_TIMEOUT_MS,
-    ) -> Answer:
+    ) -> Response:
         """Send one request; it is never repeated.
 
         Raises:
@@ -123,7 +123,7 @@
         if response.code >= 400:
             ran = response.headers.get("Ran", "")
             raise parse_error(method, response.code, response.body, ran)
-        return Answer(response.code, response.headers, response.body)
+        return Response(response.code, response.headers, response.body)
 
     async def iter_lines(self, path: str, window_ms: int) -> AsyncGenerator[bytes]:
         """Yield the lines of a streamed answer until it ends.
@@ -180,7 +180,7 @@
     """Carries the chunks of one answer from the connection to its reader."""
 
     def __init__(self) -> None:
-        self._chunks: Queue[bytes | None] = Queue(maxsize=MAX_WAITING_CHUNKS)
+        self._chunks: Queue[bytes | None] = Queue(maxsize=MAX_BUFFERED_CHUNKS)
         self._status = 0
         self._closed = False
         self.error_body = b""
