--- a/marjoramgrade/api.py
+++ b/marjoramgrade/api.py
@@ -9,13 +9,13 @@
 
 import attrs
 
-from marjoramgrade import documents, jsontext, watching
+from marjoramgrade import documents, jsontext, watchclient
 from marjoramgrade.documents import Document
 from marjoramgrade.errors import InvalidInputError, OutcomeUnknownError, ProtocolError
 from marjoramgrade.model import Job, JobSpec
 from marjoramgrade.resourcekinds import KEYS, ResourceKind
 from marjoramgrade.transport import Response, Transport
-from marjoramgrade.watching import WatchEvent
+from marjoramgrade.watchclient import WatchEvent
 
 T = TypeVar("T")
 DEFAULT_DEADLINE_MS = 10_000
@@ -231,7 +231,7 @@
             WatchResetError: While iterating, if changes were missed.
             ServerUnreachableError: While iterating, if no attempt succeeds.
         """
-        return watching.iter_events(self._transport, after)
+        return watchclient.iter_events(self._transport, after)
 
     async def _put(
         self, path: str, document: Document, expected_version: int | None
--- a/marjoramgrade/commands/resources.py
+++ b/marjoramgrade/commands/resources.py
@@ -25,7 +25,7 @@
     ZONES,
     ResourceKind,
 )
-from marjoramgrade.watching import WatchEvent, WatchResetError
+from marjoramgrade.watchclient import WatchEvent, WatchResetError
 
 app = typer.Typer()
 # Teams come first, because services and keys name them.
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -125,20 +125,22 @@
             raise parse_error(method, response.code, response.body, ran)
         return Response(response.code, response.headers, response.body)
 
-    async def iter_lines(self, path: str, window_ms: int) -> AsyncGenerator[bytes]:
+    async def iter_lines(
+        self, path: str, connection_lifetime_ms: int
+    ) -> AsyncGenerator[bytes]:
         """Yield the lines of a streamed answer until it ends.
 
         Args:
             path: What to read.
-            window_ms: Time after which the connection is given up, which also
-                bounds how long a dead connection goes unnoticed.
+            connection_lifetime_ms: Time after which the connection is given up, which
+                also bounds how long a dead connection goes unnoticed.
 
         Raises:
             ServerUnreachableError: If the connection broke or was refused.
             MarjoramgradeError: The error that the server reported.
         """
         stream = _LineStream()
-        request = self._request("GET", path, None, window_ms)
+        request = self._request("GET", path, None, connection_lifetime_ms)
         request.header_callback = stream.on_header
         request.streaming_callback = stream.on_chunk
         fetch = asyncio.ensure_future(stream.fetch(self._http, request))
--- a/marjoramgrade/watching.py
+++ b/marjoramgrade/watchclient.py
@@ -28,10 +28,10 @@
 )
 from marjoramgrade.transport import ServerUnreachableError, Transport
 
-WINDOW_MS = 30_000
-MAX_FAILURES = 8
-FIRST_DELAY_MS = 100
-MAX_DELAY_MS = 3_000
+CONNECTION_LIFETIME_MS = 30_000
+MAX_CONSECUTIVE_FAILURES = 8
+INITIAL_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 3_000
 MAX_NAME_BYTES = 256
 MAX_KINDS = 64
 
@@ -128,7 +128,7 @@
 
 
 @attrs.define
-class Position:
+class WatchCursor:
     """How far a watch has come.
 
     One version can bring several changes, and a connection may break between
@@ -168,46 +168,49 @@
 
 
 async def iter_events(
-    transport: Transport, after: int | None = None, *, window_ms: int = WINDOW_MS
+    transport: Transport,
+    after: int | None = None,
+    *,
+    connection_lifetime_ms: int = CONNECTION_LIFETIME_MS,
 ) -> AsyncIterator[WatchEvent]:
     """Yield every change after a version, across broken connections.
 
     Args:
         transport: Where to ask.
         after: The last version that the caller knows; None to start from now.
-        window_ms: How long one connection is used.
+        connection_lifetime_ms: How long one connection is used.
 
     Raises:
         WatchResetError: If changes were missed.
         ServerUnreachableError: If no attempt of several in a row got an answer.
         MarjoramgradeError: The error that the server reported.
     """
-    position = None if after is None else Position(after)
+    cursor = None if after is None else WatchCursor(after)
     failures = 0
     while True:
         try:
             async with contextlib.aclosing(
-                transport.iter_lines(_path(position), window_ms)
+                transport.iter_lines(_path(cursor), connection_lifetime_ms)
             ) as lines:
                 async for line in lines:
                     failures = 0
                     if not line.strip():
                         continue
-                    if position is None:
-                        position = Position(_parse_start(line))
-                    elif position.advance(event := parse_line(line)):
+                    if cursor is None:
+                        cursor = WatchCursor(_parse_start(line))
+                    elif cursor.advance(event := parse_line(line)):
                         yield event
         except _RETRYABLE:
             failures += 1
-            if failures == MAX_FAILURES:
+            if failures == MAX_CONSECUTIVE_FAILURES:
                 raise
         await asyncio.sleep(_delay_ms(failures) / 1000)
 
 
-def _path(position: Position | None) -> str:
-    if position is None:
+def _path(cursor: WatchCursor | None) -> str:
+    if cursor is None:
         return "/v1/watch"
-    return f"/v1/watch?after={position.resume_after}"
+    return f"/v1/watch?after={cursor.resume_after}"
 
 
 def _parse_start(line: bytes) -> int:
@@ -221,4 +224,4 @@
 
 def _delay_ms(failures: int) -> int:
     # A delay after success too, in case a server ends each answer at once.
-    return min(FIRST_DELAY_MS << failures, MAX_DELAY_MS)
+    return min(INITIAL_BACKOFF_MS << failures, MAX_BACKOFF_MS)
--- a/scripts/demoboard.py
+++ b/scripts/demoboard.py
@@ -12,7 +12,7 @@
 from marjoramgrade.actor import Actor, Message, handles
 from marjoramgrade.api import Client
 from marjoramgrade.documents import Document
-from marjoramgrade.watching import WatchEvent, WatchResetError
+from marjoramgrade.watchclient import WatchEvent, WatchResetError
 
 JobTest = Callable[[Document], bool]
 
--- a/tests/test_watching.py
+++ b/tests/test_watchclient.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marjoramgrade import watching
+from marjoramgrade import watchclient
 from marjoramgrade.errors import MarjoramgradeError, ProtocolError, UnauthenticatedError
 from marjoramgrade.transport import Transport
-from marjoramgrade.watching import WatchResetError
+from marjoramgrade.watchclient import WatchResetError
 from tests.scriptedserver import ScriptedServer, fails, hangs_up, run, says, streams
 
 
@@ -18,12 +18,17 @@
     return json.dumps(change)
 
 
-async def take(
-    server: ScriptedServer, count: int, after: int | None = 0, window_ms: int = 5_000
+async def collect_events(
+    server: ScriptedServer,
+    count: int,
+    after: int | None = 0,
+    connection_lifetime_ms: int = 5_000,
 ) -> list[tuple[int, str]]:
     transport = Transport(server.url)
     seen: list[tuple[int, str]] = []
-    events = watching.iter_events(transport, after, window_ms=window_ms)
+    events = watchclient.iter_events(
+        transport, after, connection_lifetime_ms=connection_lifetime_ms
+    )
     async with contextlib.aclosing(events) as closing:  # type: ignore[type-var]
         async for event in closing:
             seen.append((event.version, event.name))
@@ -37,7 +42,7 @@
     """Guards against changes lost between two lines of one version."""
 
     async def work(server: ScriptedServer) -> None:
-        seen = await take(server, 4, after=4)
+        seen = await collect_events(server, 4, after=4)
         assert seen == [(5, "a"), (6, "b"), (6, "c"), (7, "d")]
 
     server = run(
@@ -55,7 +60,7 @@
     """Guards against a watch that waits forever on a dead connection."""
 
     async def work(server: ScriptedServer) -> None:
-        assert await take(server, 1, window_ms=200) == [(1, "a")]
+        assert await collect_events(server, 1, connection_lifetime_ms=200) == [(1, "a")]
 
     async def silence(handler: object) -> None:
         await asyncio.sleep(0.5)
@@ -68,7 +73,7 @@
 
     async def work(server: ScriptedServer) -> None:
         with pytest.raises(WatchResetError) as caught:
-            await take(server, 1, after=3)
+            await collect_events(server, 1, after=3)
         assert caught.value.version == 90
 
     run(work, streams('{"reset": true, "version": 90}'))
@@ -79,7 +84,7 @@
 
     async def work(server: ScriptedServer) -> None:
         with pytest.raises(UnauthenticatedError):
-            await take(server, 1)
+            await collect_events(server, 1)
 
     run(work, fails("unauthenticated", 401))
 
@@ -88,7 +93,7 @@
     """Guards against a new watch that takes its own start for a gap."""
 
     async def work(server: ScriptedServer) -> None:
-        assert await take(server, 2, after=None) == [(91, "a"), (92, "b")]
+        assert await collect_events(server, 2, after=None) == [(91, "a"), (92, "b")]
 
     server = run(
         work,
@@ -104,7 +109,7 @@
 
     async def work(server: ScriptedServer) -> None:
         with pytest.raises(ProtocolError):
-            await take(server, 3, after=2)
+            await collect_events(server, 3, after=2)
 
     run(work, streams(line(5, "a"), second))
 
@@ -113,7 +118,7 @@
     """Guards against a watch that ends because two feeds are merged."""
 
     async def work(server: ScriptedServer) -> None:
-        assert await take(server, 2, after=2) == [(5, "a"), (4, "c")]
+        assert await collect_events(server, 2, after=2) == [(5, "a"), (4, "c")]
 
     run(work, streams(line(5, "a"), line(4, "c", "config")))
 
@@ -122,4 +127,4 @@
 def test_hostile_lines_raise_only_typed_errors(data: bytes) -> None:
     """Guards against a line that crashes the watcher."""
     with contextlib.suppress(MarjoramgradeError):
-        watching.parse_line(data)
+        watchclient.parse_line(data)
