--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,8 +14,8 @@
 from marjoramgrade.commands.session import exit_code_of
 from tests.scriptedserver import Answer, ScriptedServer, fails, hangs_up, run, says
 from tests.scriptedserver import streams as streams_lines
-from tests.test_deployment import FOLDER
-from tests.test_settingsfile import GOOD
+from tests.test_deployment import DEPLOY_FOLDER
+from tests.test_settingsfile import VALID_SETTINGS
 
 ZONE = {"name": "leeds", "state": "in"}
 JOB = {
@@ -259,21 +259,21 @@
 ) -> None:
     """Guards against a deployment that the daemon cannot read."""
     path = tmp_path / "entry.json"
-    cell = str(FOLDER / "ledgerwell.json")
+    cell = str(DEPLOY_FOLDER / "ledgerwell.json")
     rendered = invoke("settings", "render", cell, "--instance", "leeds-entry-1")
     path.write_text(rendered.stdout)
     assert invoke("settings", "check", str(path)).stdout == rendered.stdout
     assert invoke("run", "--settings", str(path)).exit_code == 0
     assert len(entry) == 1
     assert invoke("settings", "render", cell, "--instance", "x").exit_code == 1
-    path.write_text(json.dumps({**GOOD, "zone": ""}))
+    path.write_text(json.dumps({**VALID_SETTINGS, "zone": ""}))
     assert invoke("run", "--settings", str(path)).exit_code == 2
     assert len(entry) == 1
 
 
 def test_a_seed_applies(entry: list[object]) -> None:
     """Guards against a seed that `apply` refuses."""
-    seed = invoke("settings", "seed", str(FOLDER / "kelani-basin.json")).stdout
+    seed = invoke("settings", "seed", str(DEPLOY_FOLDER / "kelani-basin.json")).stdout
     count = 6 + 3 + 1
     answers = [fails("not_found", 404), says({}, version=1)] * count
     result, sent = call("apply", "-", answers=answers, stdin=seed)
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -6,21 +6,21 @@
 
 from marjoramgrade import deployment, documents
 from marjoramgrade.errors import NotFoundError, SettingsError
-from tests.test_settingsfile import NAMES
+from tests.test_settingsfile import KNOWN_NAMES
 
-FOLDER = pathlib.Path(__file__).parent.parent / "deploy"
+DEPLOY_FOLDER = pathlib.Path(__file__).parent.parent / "deploy"
 SIZES = {"kelani-basin": (7, 64_000, 128), "ledgerwell": (6, 16_000, 64)}
 
 
 def load(name: str) -> dict[str, Any]:
-    document: dict[str, Any] = json.loads((FOLDER / f"{name}.json").read_text())
+    document: dict[str, Any] = json.loads((DEPLOY_FOLDER / f"{name}.json").read_text())
     return document
 
 
 @pytest.mark.parametrize("name", SIZES)
 def test_the_deployment_files_have_the_sizes_of_the_design_page(name: str) -> None:
     """Guards against a deployment file that drifts from the design page."""
-    cell = deployment.read_deployment(FOLDER / f"{name}.json")
+    cell = deployment.read_deployment(DEPLOY_FOLDER / f"{name}.json")
     entries, cpu_millis, memory_gib = SIZES[name]
     assert (len(cell.entries), len(cell.zones), len(cell.teams)) == (entries, 3, 6)
     assert (cell.workers.count, cell.workers.per_rack) == (24, 8)
@@ -32,17 +32,17 @@
 @pytest.mark.parametrize("name", SIZES)
 def test_settings_render_for_every_instance(name: str) -> None:
     """Guards against a deployment from which an instance cannot start."""
-    cell = deployment.read_deployment(FOLDER / f"{name}.json")
+    cell = deployment.read_deployment(DEPLOY_FOLDER / f"{name}.json")
     for plan in cell.entries:
-        settings = deployment.render_settings(cell, plan.instance_id, NAMES)
+        settings = deployment.render_settings(cell, plan.instance_id, KNOWN_NAMES)
         assert (settings.instance_id, settings.zone) == (plan.instance_id, plan.zone)
     with pytest.raises(NotFoundError):
-        deployment.render_settings(cell, "nobody", NAMES)
+        deployment.render_settings(cell, "nobody", KNOWN_NAMES)
 
 
 def test_the_seed_holds_resources_that_parse() -> None:
     """Guards against first resources that the interface refuses."""
-    cell = deployment.read_deployment(FOLDER / "ledgerwell.json")
+    cell = deployment.read_deployment(DEPLOY_FOLDER / "ledgerwell.json")
     seed = json.loads(json.dumps(deployment.serialize_seed(cell)))
     assert [documents.parse_team(team) for team in seed["teams"]] == list(cell.teams)
     assert len(documents.parse_config(seed).services_by_name) == 1
--- a/tests/test_settingsfile.py
+++ b/tests/test_settingsfile.py
@@ -14,7 +14,7 @@
 from tests import strategies
 
 DEFAULT = PolicyNames()
-NAMES = settingsfile.KnownNames(
+KNOWN_NAMES = settingsfile.KnownNames(
     DEFAULT_FILTERS,
     {
         "queue_order": ["weighted_drf", "fifo"],
@@ -23,7 +23,7 @@
         "retry": ["task_backoff"],
     },
 )
-GOOD = {
+VALID_SETTINGS = {
     "instance_id": "gampaha-1",
     "zone": "gampaha",
     "host": "127.0.0.1",
@@ -35,23 +35,23 @@
 
 def problems_of(document: object) -> dict[str, str]:
     with pytest.raises(SettingsError) as caught:
-        settingsfile.parse_entry_settings(document, NAMES)
+        settingsfile.parse_entry_settings(document, KNOWN_NAMES)
     return {problem.path: problem.reason for problem in caught.value.problems}
 
 
 def test_settings_survive_a_round_trip() -> None:
     """Guards against rendered settings that the entry instance reads differently."""
-    settings = settingsfile.parse_entry_settings(GOOD, NAMES)
-    assert settings == EntrySettings(**GOOD)  # type: ignore[arg-type]
+    settings = settingsfile.parse_entry_settings(VALID_SETTINGS, KNOWN_NAMES)
+    assert settings == EntrySettings(**VALID_SETTINGS)  # type: ignore[arg-type]
     document = json.loads(json.dumps(settingsfile.serialize_entry_settings(settings)))
-    assert settingsfile.parse_entry_settings(document, NAMES) == settings
+    assert settingsfile.parse_entry_settings(document, KNOWN_NAMES) == settings
 
 
 def test_every_fault_is_listed_at_once() -> None:
     """Guards against operators who find one fault per attempt."""
     found = problems_of(
         {
-            **GOOD,
+            **VALID_SETTINGS,
             "host": "localhost",
             "http_port": 0,
             "peer_port": 65_536,
@@ -88,20 +88,23 @@
 )
 def test_only_a_plain_address_is_a_platform_url(url: str) -> None:
     """Guards against requests sent to an address that nobody meant."""
-    assert set(problems_of({**GOOD, "platform_url": url})) == {"platform_url"}
+    assert set(problems_of({**VALID_SETTINGS, "platform_url": url})) == {"platform_url"}
 
 
 def test_an_unknown_kind_and_a_shared_port_are_faults() -> None:
     """Guards against policies for no kind and against a port bound twice."""
-    assert problems_of({**GOOD, "policies_by_kind": {"cron": {}}})
-    assert set(problems_of({**GOOD, "peer_port": 8080})) == {"peer_port"}
-    assert problems_of({**GOOD, "filters": ["identify", "identify"]})
+    assert problems_of({**VALID_SETTINGS, "policies_by_kind": {"cron": {}}})
+    assert set(problems_of({**VALID_SETTINGS, "peer_port": 8080})) == {"peer_port"}
+    assert problems_of({**VALID_SETTINGS, "filters": ["identify", "identify"]})
 
 
 def test_a_kind_left_out_keeps_its_default_policies() -> None:
     """Guards against a kind of work without policies at run time."""
-    document = {**GOOD, "policies_by_kind": {"batch": {"queue_order": "fifo"}}}
-    settings = settingsfile.parse_entry_settings(document, NAMES)
+    document = {
+        **VALID_SETTINGS,
+        "policies_by_kind": {"batch": {"queue_order": "fifo"}},
+    }
+    settings = settingsfile.parse_entry_settings(document, KNOWN_NAMES)
     assert settings.policies_by_kind[JobKind.BATCH].queue_order == "fifo"
     assert settings.policies_by_kind[JobKind.GANG] == DEFAULT
 
@@ -112,9 +115,9 @@
 )
 def test_hostile_settings_raise_only_settings_errors(field: str, value: object) -> None:
     """Guards against a settings file that crashes the start with a traceback."""
-    for document in ({**GOOD, field: value}, value):
+    for document in ({**VALID_SETTINGS, field: value}, value):
         try:
-            settingsfile.parse_entry_settings(document, NAMES)
+            settingsfile.parse_entry_settings(document, KNOWN_NAMES)
         except SettingsError as error:
             assert all(p.path and p.reason for p in error.problems)
 
@@ -128,7 +131,7 @@
     if content is not None:
         path.write_bytes(content)
     with pytest.raises(SettingsError, match="entry.json"):
-        settingsfile.read_entry_settings(path, NAMES)
+        settingsfile.read_entry_settings(path, KNOWN_NAMES)
 
 
 def test_known_names_cover_every_field_of_the_policies() -> None:
