--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -41,29 +41,29 @@
 from marjoramgrade.platform import configuration
 from marjoramgrade.platform.advice import AdviceClient
 from marjoramgrade.platform.front import ClientFront, ReadyFront
-from marjoramgrade.platform.settings import NodeSettings, read_settings
+from marjoramgrade.platform.settings import InstanceSettings, read_settings
 from marjoramgrade.platform.store import StoreLink
 from marjoramgrade.platform.workers import RunnerClient, parse_worker
 
 SETTINGS_VARIABLE = "MARJORAMGRADE_NODE_FILE"
 # Leases that are granted: short ones free the tasks of a dead worker soon, long
 # ones outlast a takeover.
-HOLD_MS = 3_200
+MAX_WORKER_LEASE_MS = 3_200
 # Of the time between SIGTERM and SIGKILL, this much is left for the end itself.
 SHUTDOWN_MARGIN_MS = 1_000
 SHUTDOWN_POLL_MS = 20
 # Connections that clients keep open get this long after the last request.
-LINGER_MS = 700
+IDLE_BEFORE_EXIT_MS = 700
 
 
-class EntryNode:
+class EntryDaemon:
     """One entry instance; an asynchronous context manager that owns its parts.
 
     Args:
         settings: What it learned at its start.
     """
 
-    def __init__(self, settings: NodeSettings) -> None:
+    def __init__(self, settings: InstanceSettings) -> None:
         self._settings = settings
         self._clock = SystemClock()
         self._metrics = PrometheusMetrics()
@@ -74,11 +74,11 @@
         self._servers: list[HTTPServer] = []
 
     @classmethod
-    def from_config(cls, settings: NodeSettings) -> EntryNode:
+    def from_config(cls, settings: InstanceSettings) -> EntryDaemon:
         """Return an instance that is not yet started."""
         return cls(settings)
 
-    async def __aenter__(self) -> EntryNode:
+    async def __aenter__(self) -> EntryDaemon:
         try:
             await self._start()
         except BaseException:
@@ -113,7 +113,7 @@
         )
         router = StoreRouter(own.instance_id, link, peers)
         terms = LeaderDurations(
-            min(HOLD_MS, settings.longest_lease_ms),
+            min(MAX_WORKER_LEASE_MS, settings.longest_lease_ms),
             settings.status_s * 1_000,
         )
         scheduler = StepSchedulerController(
@@ -210,18 +210,18 @@
             now_ms = self._clock.now_ms()
             if front.in_flight or front.has_connections:
                 idle_since_ms = now_ms
-            if now_ms - idle_since_ms >= LINGER_MS:
+            if now_ms - idle_since_ms >= IDLE_BEFORE_EXIT_MS:
                 return
             await asyncio.sleep(SHUTDOWN_POLL_MS / 1000)
 
 
-async def _serve(settings: NodeSettings, path: pathlib.Path) -> int:
+async def _serve(settings: InstanceSettings, path: pathlib.Path) -> int:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path, settings)
-    async with EntryNode.from_config(settings) as node:
+    async with EntryDaemon.from_config(settings) as node:
         logs.log_event("started", zone=settings.zone)
         waits = [asyncio.ensure_future(e.wait()) for e in (stop, node.failed)]
         await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
@@ -233,7 +233,7 @@
     return 1 if node.failed.is_set() else 0
 
 
-def _reload(path: pathlib.Path, current: NodeSettings) -> None:
+def _reload(path: pathlib.Path, current: InstanceSettings) -> None:
     """Say what changed in the settings; addresses take effect at the next start."""
     try:
         changed = read_settings(path) != current
--- a/marjoramgrade/platform/settings.py
+++ b/marjoramgrade/platform/settings.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class NodeSettings:
+class InstanceSettings:
     """What the process learns at its start.
 
     Attributes:
@@ -65,14 +65,14 @@
         return int(1_000 * self.cpu_share * self.cores * link_share)
 
 
-def read_settings(path: pathlib.Path) -> NodeSettings:
+def read_settings(path: pathlib.Path) -> InstanceSettings:
     """Read the settings file.
 
     Raises:
         SettingsError: If it cannot be read or a field is missing or mistyped.
     """
     try:
-        settings = msgspec.json.decode(path.read_bytes(), type=NodeSettings)
+        settings = msgspec.json.decode(path.read_bytes(), type=InstanceSettings)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError([SettingsProblem(str(path), str(error))]) from None
     problems = [
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -287,9 +287,9 @@
     # Guards against a setting that the platform never fills in.
     root = pathlib.Path(__file__).resolve().parent.parent
     template = (root / "deploy" / "entry.json").read_text(encoding="utf-8")
-    from marjoramgrade.platform.settings import NodeSettings
+    from marjoramgrade.platform.settings import InstanceSettings
 
-    for field in NodeSettings.__attrs_attrs__:
+    for field in InstanceSettings.__attrs_attrs__:
         assert f'"{field.name}"' in template
 
 
