--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -40,7 +40,7 @@
 from marjoramgrade.messages.steps import ReleaseLeadership
 from marjoramgrade.platform import configuration
 from marjoramgrade.platform.advice import AdviceClient
-from marjoramgrade.platform.front import ClientFront, ReadyFront
+from marjoramgrade.platform.front import ClientFrontend, ReadinessEndpoint
 from marjoramgrade.platform.settings import InstanceSettings, read_settings
 from marjoramgrade.platform.store import StoreLink
 from marjoramgrade.platform.workers import RunnerClient, parse_worker
@@ -68,8 +68,8 @@
         self._clock = SystemClock()
         self._metrics = PrometheusMetrics()
         self._stack = ActorGroup()
-        self._ready = ReadyFront()
-        self._front: ClientFront | None = None
+        self._ready = ReadinessEndpoint()
+        self._front: ClientFrontend | None = None
         self._leadership: LeadershipController | None = None
         self._servers: list[HTTPServer] = []
 
@@ -178,7 +178,7 @@
             QUEUE_FILTERS.get(name).from_config(environment)  # type: ignore[arg-type]
             for name in DEFAULT_QUEUE_FILTERS
         ]
-        self._front = ClientFront(
+        self._front = ClientFrontend(
             Chain(filters, self._metrics), self._clock, self._metrics
         )
         for server, address in (
@@ -197,10 +197,10 @@
 
     async def drain(self) -> None:
         """Give the lead up and answer what callers still send."""
-        self._ready.leave()
+        self._ready.mark_draining()
         front = self._front
         if front is not None:
-            front.is_leaving = True
+            front.is_draining = True
         if self._leadership is not None:
             await self._leadership.ask(ReleaseLeadership())
         shutdown_ms = int(self._settings.shutdown_s * 1_000) - SHUTDOWN_MARGIN_MS
--- a/marjoramgrade/platform/front.py
+++ b/marjoramgrade/platform/front.py
@@ -66,7 +66,7 @@
 )
 
 
-class CountingServer(HTTPServer):
+class ClientHttpServer(HTTPServer):
     """A server that can tell whether clients are connected."""
 
     @property
@@ -76,28 +76,28 @@
 
 
 @attrs.define
-class ClientFront:
+class ClientFrontend:
     """Serves the clients.
 
     Attributes:
         chain: The filter chain.
         clock: Time.
         metrics: Counts times.
-        is_leaving: Whether the process is about to end.
+        is_draining: Whether the process is about to end.
         in_flight: Requests that have not been answered.
     """
 
     chain: Chain
     clock: Clock
     metrics: Metrics
-    is_leaving: bool = False
+    is_draining: bool = False
     in_flight: int = 0
     _tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
-    _server: CountingServer | None = None
+    _server: ClientHttpServer | None = None
 
     def make_server(self) -> HTTPServer:
         """Return the server, not yet listening."""
-        self._server = CountingServer(
+        self._server = ClientHttpServer(
             self._accept,
             max_header_size=MAX_HEADER_BYTES,
             max_body_size=MAX_BODY_BYTES,
@@ -132,7 +132,7 @@
     ) -> tuple[int, bytes]:
         try:
             context = self._context(request, began_ms)
-            return 200, serialize_answer(await self.chain.handle(context))
+            return 200, serialize_response(await self.chain.handle(context))
         except MarjoramgradeError as error:
             status = status_of(error)
             logs.log_event(
@@ -173,7 +173,7 @@
             headers["Retry-After"] = str(RETRY_AFTER_S)
         # A caller that is refused here comes back on a new connection, for which the
         # balancer can choose an instance that is ready.
-        if self.is_leaving or status == 503:
+        if self.is_draining or status == 503:
             headers["Connection"] = "close"
         written = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""), headers, body
@@ -195,7 +195,7 @@
     return 502
 
 
-def serialize_answer(answer: Any) -> bytes:
+def serialize_response(answer: Any) -> bytes:
     """Return the body that answers a request."""
     if isinstance(answer, StepJobShown):
         return msgspec.json.encode({"state": answer.state.value})
@@ -255,7 +255,7 @@
     )
 
 
-class ReadyFront:
+class ReadinessEndpoint:
     """Tells the balancer whether this instance wants new connections.
 
     Attributes:
@@ -264,11 +264,11 @@
 
     def __init__(self) -> None:
         self.is_ready = False
-        self._is_leaving = False
+        self._is_draining = False
 
-    def leave(self) -> None:
+    def mark_draining(self) -> None:
         """Ask for no new connections until the process ends."""
-        self._is_leaving = True
+        self._is_draining = True
 
     def make_server(self) -> HTTPServer:
         """Return the server, not yet listening."""
@@ -278,7 +278,7 @@
         connection: Any = request.connection
         if connection is None:
             return
-        status = 200 if self.is_ready and not self._is_leaving else 503
+        status = 200 if self.is_ready and not self._is_draining else 503
         written = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""),
             HTTPHeaders({"Content-Length": "0"}),
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -32,9 +32,9 @@
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.platform.configuration import parse_config
 from marjoramgrade.platform.front import (
-    ClientFront,
+    ClientFrontend,
     parse_job,
-    serialize_answer,
+    serialize_response,
     status_of,
 )
 from marjoramgrade.platform.settings import read_settings
@@ -227,9 +227,9 @@
 
 def test_answers_have_the_words_of_the_platform():
     # Guards against a state that clients cannot read.
-    shown = serialize_answer(StepJobShown(StepJobState.COMPLETED))
+    shown = serialize_response(StepJobShown(StepJobState.COMPLETED))
     assert msgspec.json.decode(shown) == {"state": "completed"}
-    assert msgspec.json.decode(serialize_answer(PendingCount(3))) == {"pending": 3}
+    assert msgspec.json.decode(serialize_response(PendingCount(3))) == {"pending": 3}
 
 
 class Answer(Filter):
@@ -248,7 +248,7 @@
 def test_refusal_says_when_to_come_back():
     # Guards against callers who hammer or give up, and against unread answers.
     async def run():
-        front = ClientFront(
+        front = ClientFrontend(
             Chain([Answer()], MemoryMetrics()), SystemClock(), MemoryMetrics()
         )
         server = front.make_server()
