--- a/marjoramgrade/platform/advice.py
+++ b/marjoramgrade/platform/advice.py
@@ -12,7 +12,7 @@
 from marjoramgrade.controllers.advising import AdvisorPort
 from marjoramgrade.errors import AdvisorError
 from marjoramgrade.messages.steps import AdvisedWorker, RequestAdvice, StepAdvice
-from marjoramgrade.platform.decoding import DECODE_FAULTS
+from marjoramgrade.platform.decoding import DECODE_ERRORS
 
 # The service answers the calls of a machine in turn and takes up to a second each.
 CALL_TIMEOUT_MS = 8_000
@@ -52,5 +52,5 @@
                 for worker_id, ticket in document["good"]
             )
             return StepAdvice(workers, int(document["validMs"]))
-        except DECODE_FAULTS as error:
+        except DECODE_ERRORS as error:
             raise AdvisorError(f"the advice cannot be read: {error!r}") from None
--- a/marjoramgrade/platform/configuration.py
+++ b/marjoramgrade/platform/configuration.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from marjoramgrade.errors import InvalidInputError
-from marjoramgrade.platform.decoding import DECODE_FAULTS
+from marjoramgrade.platform.decoding import DECODE_ERRORS
 from marjoramgrade.platform.workers import parse_resources
 from marjoramgrade.stepconfig import (
     AdvicePolicy,
@@ -46,7 +46,7 @@
                 int(limits.get("maxBodyBytes") or 262_144),
             ),
         )
-    except DECODE_FAULTS as error:
+    except DECODE_ERRORS as error:
         raise InvalidInputError(f"the configuration: {error!r}") from None
 
 
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -42,7 +42,7 @@
 from marjoramgrade.platform.advice import AdviceClient
 from marjoramgrade.platform.front import ClientFrontend, ReadinessEndpoint
 from marjoramgrade.platform.settings import InstanceSettings, read_settings
-from marjoramgrade.platform.store import StoreLink
+from marjoramgrade.platform.store import StoreClient
 from marjoramgrade.platform.workers import RunnerClient, parse_worker
 
 SETTINGS_VARIABLE = "MARJORAMGRADE_NODE_FILE"
@@ -103,10 +103,10 @@
             settings.peer_port,
             strength=settings.strength,
         )
-        link = StoreLink(settings.store)
+        link = StoreClient(settings.store)
         # Calls of others that hang in a silent store leave this instance's own
         # connections free.
-        relay_link = StoreLink(settings.store)
+        relay_link = StoreClient(settings.store)
         advisor = AdvisingController(AdviceClient(settings.advice))
         peers = PeersController(
             own, link, lambda member: PeerLink(own.instance_id, own.host, member)
--- a/marjoramgrade/platform/decoding.py
+++ b/marjoramgrade/platform/decoding.py
@@ -4,7 +4,7 @@
 
 # A missing field, a value of another type, an unknown word, an entry that is no
 # object, or bytes that are no JSON.
-DECODE_FAULTS = (
+DECODE_ERRORS = (
     KeyError,
     TypeError,
     ValueError,
--- a/marjoramgrade/platform/front.py
+++ b/marjoramgrade/platform/front.py
@@ -34,7 +34,7 @@
     StepJobShown,
 )
 from marjoramgrade.metrics import Metrics
-from marjoramgrade.platform.decoding import DECODE_FAULTS
+from marjoramgrade.platform.decoding import DECODE_ERRORS
 from marjoramgrade.platform.workers import parse_resources
 from marjoramgrade.stepjobs import Schedule, Step, StepJob
 
@@ -229,7 +229,7 @@
             int(document.get("intervalMs") or 0),
         )
         return StepJob("", "", "", payload, steps, schedule)
-    except DECODE_FAULTS as error:
+    except DECODE_ERRORS as error:
         raise InvalidInputError(f"the job cannot be read: {error!r}") from None
 
 
--- a/marjoramgrade/platform/store.py
+++ b/marjoramgrade/platform/store.py
@@ -42,7 +42,7 @@
 WATCH_MARGIN_MS = 1_000
 
 
-class StoreLink(Actor):
+class StoreClient(Actor):
     """Owns the connections to the store.
 
     Args:
--- a/marjoramgrade/platform/workers.py
+++ b/marjoramgrade/platform/workers.py
@@ -20,7 +20,7 @@
     WorkerUnreachableError,
     WorkerUnresponsiveError,
 )
-from marjoramgrade.platform.decoding import DECODE_FAULTS
+from marjoramgrade.platform.decoding import DECODE_ERRORS
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import (
     RunEnd,
@@ -180,7 +180,7 @@
             tuple(_report(entry) for entry in document.get("running") or ()),
             tuple(_end(entry) for entry in document.get("ended") or ()),
         )
-    except DECODE_FAULTS as error:
+    except DECODE_ERRORS as error:
         raise InvalidInputError(f"a listing of runs: {error!r}") from None
 
 
@@ -233,7 +233,7 @@
             state == "draining",
             int(document.get("born") or 0),
         )
-    except DECODE_FAULTS as error:
+    except DECODE_ERRORS as error:
         raise InvalidInputError(f"the entry of {worker_id}: {error!r}") from None
 
 
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -38,7 +38,7 @@
     status_of,
 )
 from marjoramgrade.platform.settings import read_settings
-from marjoramgrade.platform.store import StoreLink
+from marjoramgrade.platform.store import StoreClient
 from marjoramgrade.platform.workers import (
     parse_listing,
     parse_task,
@@ -318,7 +318,7 @@
     async def run():
         server = await asyncio.start_server(handle, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        link = StoreLink(f"127.0.0.1:{port}")
+        link = StoreClient(f"127.0.0.1:{port}")
         await link.start()
         row = RowId("jobs", "p0", "a")
         with pytest.raises(TableUnavailableError):
