--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -48,7 +48,7 @@
 from marjoramgrade.resources import Resources
 from marjoramgrade.stepjobs import RunEndStatus, StepJobState, TaskRef
 
-ENTRY = {
+WORKER_ENTRY = {
     "service": "pool",
     "addr": "10.0.0.1:80",
     "zone": "north",
@@ -82,7 +82,7 @@
 
 def test_entry_of_a_runner_is_read():
     # Guards against a capacity or rack that is read from the wrong field.
-    worker = parse_worker("i-1", encode(ENTRY))
+    worker = parse_worker("i-1", encode(WORKER_ENTRY))
     assert worker.capacity == Resources(cpu_millis=16_000, memory_mib=32_768)
     assert (worker.rack, worker.draining, worker.born_unix_ms) == ("r1", False, 5)
 
@@ -102,7 +102,7 @@
 def test_entry_of_another_writer_is_refused(change):
     # Guards against a worker that does not exist, and against a crash.
     with pytest.raises(InvalidInputError):
-        parse_worker("i-1", encode({**ENTRY, **change}))
+        parse_worker("i-1", encode({**WORKER_ENTRY, **change}))
 
 
 @given(st.binary(max_size=60))
@@ -120,7 +120,7 @@
         st.none() | st.booleans() | st.integers() | st.text(max_size=5),
         lambda inner: (
             st.lists(inner, max_size=3)
-            | st.dictionaries(st.sampled_from([*ENTRY, *CONFIG, "steps"]), inner)
+            | st.dictionaries(st.sampled_from([*WORKER_ENTRY, *CONFIG, "steps"]), inner)
         ),
         max_leaves=12,
     )
@@ -232,7 +232,7 @@
     assert msgspec.json.decode(serialize_response(PendingCount(3))) == {"pending": 3}
 
 
-class Answer(Filter):
+class StubFilter(Filter):
     """Answers every request."""
 
     @classmethod
@@ -249,7 +249,7 @@
     # Guards against callers who hammer or give up, and against unread answers.
     async def run():
         front = ClientFrontend(
-            Chain([Answer()], MemoryMetrics()), SystemClock(), MemoryMetrics()
+            Chain([StubFilter()], MemoryMetrics()), SystemClock(), MemoryMetrics()
         )
         server = front.make_server()
         server.listen(0, "127.0.0.1")
--- a/tests/test_platform_start.py
+++ b/tests/test_platform_start.py
@@ -5,7 +5,7 @@
 import sys
 import tomllib
 
-FOLDER = pathlib.Path(__file__).parent.parent
+PROJECT_ROOT = pathlib.Path(__file__).parent.parent
 # Each of them costs a start tens of milliseconds, during which nobody is served.
 UNUSED_AT_START = ("marjoramgrade.model", "prometheus_client", "rich", "typer")
 
@@ -18,7 +18,7 @@
     )
     result = subprocess.run(
         [sys.executable, "-c", code],
-        cwd=FOLDER,
+        cwd=PROJECT_ROOT,
         capture_output=True,
         text=True,
         timeout=60,
@@ -29,8 +29,8 @@
 
 def test_the_deployed_libraries_are_those_that_the_tests_use():
     # Guards against two lists of pinned libraries that drift apart.
-    deployed = set((FOLDER / "deploy" / "requirements.txt").read_text().split())
-    tested = set((FOLDER / "requirements.txt").read_text().split())
+    deployed = set((PROJECT_ROOT / "deploy" / "requirements.txt").read_text().split())
+    tested = set((PROJECT_ROOT / "requirements.txt").read_text().split())
     assert deployed <= tested
-    system = tomllib.loads((FOLDER / "deploy" / "system.toml").read_text())
+    system = tomllib.loads((PROJECT_ROOT / "deploy" / "system.toml").read_text())
     assert "deploy/requirements.txt" in system["build"]
