--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -40,7 +40,7 @@
 from marjoramgrade.messages.steps import ReleaseLeadership
 from marjoramgrade.platform import configuration
 from marjoramgrade.platform.advice import AdviceClient
-from marjoramgrade.platform.front import ClientFrontend, ReadinessEndpoint
+from marjoramgrade.platform.frontend import ClientFrontend, ReadinessEndpoint
 from marjoramgrade.platform.settings import InstanceSettings, read_settings
 from marjoramgrade.platform.store import StoreClient
 from marjoramgrade.platform.workers import RunnerClient, parse_worker
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -31,7 +31,7 @@
 from marjoramgrade.messages.steps import PendingCount, StepJobShown
 from marjoramgrade.metrics import MemoryMetrics
 from marjoramgrade.platform.configuration import parse_config
-from marjoramgrade.platform.front import (
+from marjoramgrade.platform.frontend import (
     ClientFrontend,
     parse_job,
     serialize_response,
