--- a/marjoramgrade/adapters/httppool.py
+++ b/marjoramgrade/adapters/httppool.py
@@ -78,7 +78,7 @@
         self.is_whole = True
 
 
-def bound_silence(stream: IOStream, timeout_ms: int) -> None:
+def set_tcp_options(stream: IOStream, timeout_ms: int) -> None:
     """Make the kernel break a connection whose peer acknowledges nothing.
 
     Raises:
@@ -245,7 +245,7 @@
                 stream = await TCPClient().connect(
                     self._host, self._port, af=socket.AF_INET
                 )
-            bound_silence(stream, UNACKNOWLEDGED_TIMEOUT_MS)
+            set_tcp_options(stream, UNACKNOWLEDGED_TIMEOUT_MS)
         except (TimeoutError, StreamClosedError, OSError) as error:
             raise HttpNotSentError(
                 f"no connection to {self._address}: {error!r}"
--- a/marjoramgrade/adapters/peerlink.py
+++ b/marjoramgrade/adapters/peerlink.py
@@ -19,7 +19,7 @@
 from marjoramgrade.actor import Actor, handles
 from marjoramgrade.adapters.httppool import (
     UNACKNOWLEDGED_TIMEOUT_MS,
-    bound_silence,
+    set_tcp_options,
 )
 from marjoramgrade.adapters.peercodec import (
     MAX_FRAME_BYTES,
@@ -158,7 +158,7 @@
                 ),
                 CONNECT_TIMEOUT_MS / 1000,
             )
-            bound_silence(stream, UNACKNOWLEDGED_TIMEOUT_MS)
+            set_tcp_options(stream, UNACKNOWLEDGED_TIMEOUT_MS)
             stream.max_write_buffer_size = MAX_UNSENT_BYTES
             write_frame(stream, PeerFrame(0, Hello(self._own_id)))
             self._stream = stream
--- a/tests/test_httppool.py
+++ b/tests/test_httppool.py
@@ -12,7 +12,7 @@
     HttpNoResponseError,
     HttpNotSentError,
     HttpPool,
-    bound_silence,
+    set_tcp_options,
 )
 
 
@@ -95,7 +95,7 @@
         stream = IOStream(socket.socket())
         stream.close()
         with pytest.raises(StreamClosedError):
-            bound_silence(stream, 1_000)
+            set_tcp_options(stream, 1_000)
 
     asyncio.run(run())
 
