--- a/marjoramgrade/adapters/httpfront.py
+++ b/marjoramgrade/adapters/httpfront.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class FrontState:
+class HttpServerState:
     """What the handlers share.
 
     Attributes:
@@ -73,11 +73,11 @@
     context: Context
 
 
-class FrontHandler(RequestHandler):
+class BaseHandler(RequestHandler):
     """Base class of the handlers."""
 
     def initialize(
-        self, state: FrontState, operation_by_method: Mapping[str, Operation]
+        self, state: HttpServerState, operation_by_method: Mapping[str, Operation]
     ) -> None:
         """Take over what the application hands to each handler."""
         self.state = state
@@ -121,7 +121,7 @@
         self.finish(jsontext.serialize_text(error_document(error)))
 
 
-class OperationHandler(FrontHandler):
+class OperationHandler(BaseHandler):
     """Answers the operations that are registered for its path."""
 
     async def _handle(self, *arguments: str) -> None:
@@ -180,7 +180,7 @@
         self.finish(answer.body)
 
 
-class WatchHandler(FrontHandler):
+class WatchHandler(BaseHandler):
     """Streams changes as JSON lines until the caller goes away."""
 
     async def get(self) -> None:
@@ -217,7 +217,7 @@
         return int(text)
 
 
-class ReadyHandler(FrontHandler):
+class ReadyHandler(BaseHandler):
     """Tells the balancer whether this instance takes requests."""
 
     def get(self) -> None:
@@ -228,7 +228,7 @@
         self.finish("ready\n")
 
 
-class NotFoundHandler(FrontHandler):
+class NotFoundHandler(BaseHandler):
     """Answers paths that do not exist."""
 
     def prepare(self) -> None:
@@ -239,7 +239,7 @@
         self.finish(jsontext.serialize_text(error_document(error)))
 
 
-def make_application(state: FrontState) -> Application:
+def make_application(state: HttpServerState) -> Application:
     """Return the HTTP application of an entry instance."""
     shared: dict[str, Any] = {"state": state, "operation_by_method": {}}
     routes: list[Any] = [
@@ -256,7 +256,7 @@
     )
 
 
-def make_server(state: FrontState, max_body_bytes: int) -> HTTPServer:
+def make_server(state: HttpServerState, max_body_bytes: int) -> HTTPServer:
     """Return the HTTP server; it bounds what a caller can make it keep."""
     return HTTPServer(
         make_application(state),
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -10,7 +10,7 @@
 from marjoramgrade import logs, metrics
 from marjoramgrade.actor import Actor, ActorGroup
 from marjoramgrade.adapters.backend import BackendClient
-from marjoramgrade.adapters.httpfront import FrontState, make_server
+from marjoramgrade.adapters.httpfront import HttpServerState, make_server
 from marjoramgrade.adapters.peerlink import PeerServer
 from marjoramgrade.adapters.platform import PlatformClient
 from marjoramgrade.clock import SystemClock
@@ -50,7 +50,7 @@
         self._stack = ActorGroup()
         self._clock = SystemClock()
         self._metrics = metrics.from_config(settings.statsd_host, settings.statsd_port)
-        self._state: FrontState | None = None
+        self._state: HttpServerState | None = None
         self._controllers: ControllerSet | None = None
 
     @classmethod
@@ -145,7 +145,7 @@
             controllers.instances,
             controllers.watch,
         )
-        self._state = FrontState(
+        self._state = HttpServerState(
             Chain.from_config(environment),
             controllers.watch,
             self._clock,
--- a/tests/test_httpfront.py
+++ b/tests/test_httpfront.py
@@ -8,7 +8,7 @@
 from tornado.testing import bind_unused_port
 
 from marjoramgrade.actor import Actor
-from marjoramgrade.adapters.httpfront import FrontState, make_server
+from marjoramgrade.adapters.httpfront import HttpServerState, make_server
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.filters.chain import Chain, Filter, Proceed
 from marjoramgrade.filters.context import Context
@@ -32,7 +32,7 @@
     """Send raw requests, each on a connection of its own."""
     metrics = MemoryMetrics()
     chain = Chain([EmptyFilter()], metrics)
-    state = FrontState(chain, Actor(), SystemClock(), metrics, MAX_BODY_BYTES)
+    state = HttpServerState(chain, Actor(), SystemClock(), metrics, MAX_BODY_BYTES)
     server = make_server(state, MAX_BODY_BYTES)
     socket, port = bind_unused_port()
     server.add_socket(socket)
