--- a/marjoramgrade/adapters/httpresources.py
+++ b/marjoramgrade/adapters/httpresources.py
@@ -42,7 +42,7 @@
 JSON_HEADERS = {"Content-Type": "application/json"}
 MAX_JSON_BYTES = 1_048_576
 # Names may hold whatever documents accept; the filter and the parser check them.
-NAME = r"([^/]{1,200})"
+NAME_PATTERN = r"([^/]{1,200})"
 
 
 @attrs.frozen
@@ -141,7 +141,7 @@
     return HttpResponse(reply.status, reply.body, headers)
 
 
-@operation("POST", rf"/v1/run/{NAME}", _show_run)
+@operation("POST", rf"/v1/run/{NAME_PATTERN}", _show_run)
 def _parse_run(call: HttpCall) -> RunRequest:
     text = call.headers.get("Idempotent", "false")
     if text not in ("true", "false"):
@@ -206,17 +206,17 @@
     return ListJobs()
 
 
-@operation("GET", rf"/v1/jobs/{NAME}", _show_job)
+@operation("GET", rf"/v1/jobs/{NAME_PATTERN}", _show_job)
 def _parse_get_job(call: HttpCall) -> GetJob:
     return GetJob(call.arguments[0])
 
 
-@operation("DELETE", rf"/v1/jobs/{NAME}", _show_job)
+@operation("DELETE", rf"/v1/jobs/{NAME_PATTERN}", _show_job)
 def _parse_cancel(call: HttpCall) -> CancelJob:
     return CancelJob(call.arguments[0])
 
 
-@operation("GET", rf"/v1/jobs/{NAME}/tasks", _show_tasks)
+@operation("GET", rf"/v1/jobs/{NAME_PATTERN}/tasks", _show_tasks)
 def _parse_tasks(call: HttpCall) -> GetTasks:
     return GetTasks("", call.arguments[0])
 
@@ -230,13 +230,13 @@
 
     Attributes:
         kind: Plural name, as in the path.
-        find: Returns the resources of this type by name.
+        get_resources: Returns the resources of this type by name.
         parse: Makes a resource from a document.
         serialize: Makes the document of a resource.
     """
 
     kind: str
-    find: Callable[[Config], Mapping[str, Any]]
+    get_resources: Callable[[Config], Mapping[str, Any]]
     parse: Callable[[Any], Any]
     serialize: Callable[[Any], Any]
 
@@ -273,14 +273,14 @@
     """Register the operations that all types of configuration share."""
 
     def show_all(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
-        by_name = kind.find(confirmed.config)
+        by_name = kind.get_resources(confirmed.config)
         items = [kind.serialize(by_name[name]) for name in sorted(by_name)]
         version = confirmed.config.version
         return _json({"version": version, "items": items}, version=version)
 
     def show_one(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
         name = call.arguments[0]
-        found = kind.find(confirmed.config).get(name)
+        found = kind.get_resources(confirmed.config).get(name)
         if found is None:
             raise NotFoundError(f"there is nothing named {name} in {kind.kind}")
         version = resource_version(confirmed.config, kind.kind, name)
@@ -288,7 +288,7 @@
 
     def show_changed(call: HttpCall, config: Config) -> HttpResponse:
         name = call.arguments[0]
-        found = kind.find(config).get(name)
+        found = kind.get_resources(config).get(name)
         if found is None:
             # The version to wait for until the deletion is in force everywhere.
             document, version = {"name": name}, config.version
@@ -311,7 +311,7 @@
     def parse_delete(call: HttpCall) -> ChangeConfig:
         return ChangeConfig(kind.kind, call.arguments[0], None, call.expected_version())
 
-    one = rf"/v1/{kind.kind}/{NAME}"
+    one = rf"/v1/{kind.kind}/{NAME_PATTERN}"
     operation("GET", rf"/v1/{kind.kind}", show_all)(parse_get)
     operation("GET", one, show_one)(parse_get)
     operation("DELETE", one, show_changed)(parse_delete)
@@ -328,7 +328,7 @@
     return _json({**document, "secret": granted.secret}, version=granted.version)
 
 
-@operation("PUT", rf"/v1/keys/{NAME}", _show_granted)
+@operation("PUT", rf"/v1/keys/{NAME_PATTERN}", _show_granted)
 def _parse_grant_key(call: HttpCall) -> GrantKey:
     document = call.document()
     if not isinstance(document, dict) or set(document) - {"name", "team"}:
