--- a/marjoramgrade/adapters/peercodec.py
+++ b/marjoramgrade/adapters/peercodec.py
@@ -20,7 +20,7 @@
 
 MAX_FRAME_BYTES = 4 * 1_048_576
 # Traversal limit of one frame in words; bounds the work of a hostile frame.
-TRAVERSAL_WORDS = MAX_FRAME_BYTES // 4
+MAX_TRAVERSAL_WORDS = MAX_FRAME_BYTES // 4
 
 capnp.remove_import_hook()
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class Done:
+class EmptyReply:
     """A reply without content."""
 
 
@@ -107,7 +107,7 @@
     """
     try:
         with _schema.Frame.from_bytes(
-            data, traversal_limit_in_words=TRAVERSAL_WORDS
+            data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS
         ) as frame:
             codec = _codec_by_field[frame.which()]
             body = codec.decode(getattr(frame, codec.field))
@@ -121,8 +121,8 @@
     return hello.instance_id
 
 
-@encodes(Done, "done", lambda _: Done())
-def _serialize_done(_: Done) -> None:
+@encodes(EmptyReply, "done", lambda _: EmptyReply())
+def _serialize_done(_: EmptyReply) -> None:
     return None
 
 
@@ -168,7 +168,7 @@
 converter = _make_converter()
 
 
-def encode_by_fields(message_type: type) -> None:
+def register_message_type(message_type: type) -> None:
     """Register a message type whose struct has the fields of the attrs class.
 
     Args:
--- a/marjoramgrade/adapters/peerlink.py
+++ b/marjoramgrade/adapters/peerlink.py
@@ -23,7 +23,7 @@
 )
 from marjoramgrade.adapters.peercodec import (
     MAX_FRAME_BYTES,
-    Done,
+    EmptyReply,
     Hello,
     PeerFrame,
     parse_frame,
@@ -255,5 +255,5 @@
             body = error
         if frame.correlation == 0 or stream.closed():
             return
-        answer = Done() if body is None else body
+        answer = EmptyReply() if body is None else body
         write_frame(stream, PeerFrame(frame.correlation, answer))
--- a/marjoramgrade/adapters/peermessages.py
+++ b/marjoramgrade/adapters/peermessages.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from marjoramgrade.adapters.peercodec import encode_by_fields, encodes
+from marjoramgrade.adapters.peercodec import encodes, register_message_type
 from marjoramgrade.decisions.promises import PromiseReply, PromiseRequest, Refusal
 from marjoramgrade.messages.configuration import ConfigPushed
 from marjoramgrade.messages.jobs import GetTasks, JobAssigned, TaskStatus
@@ -30,7 +30,7 @@
     GetTasks,
     AcknowledgeNewcomer,
 ):
-    encode_by_fields(_message_type)
+    register_message_type(_message_type)
 
 
 @encodes(ConfigPushed, "configPushed", ConfigPushed)
--- a/marjoramgrade/adapters/stepmessages.py
+++ b/marjoramgrade/adapters/stepmessages.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from marjoramgrade import errors
-from marjoramgrade.adapters.peercodec import converter, encode_by_fields, encodes
+from marjoramgrade.adapters.peercodec import converter, encodes, register_message_type
 from marjoramgrade.messages import rows, steps
 
 for _message_type in (
@@ -28,7 +28,7 @@
     steps.StepAdvice,
     steps.RequestAdvice,
 ):
-    encode_by_fields(_message_type)
+    register_message_type(_message_type)
 
 
 def _parse_rows_differ(data: Any) -> errors.RowCheckFailedError:
--- a/tests/test_peercodec.py
+++ b/tests/test_peercodec.py
@@ -7,7 +7,7 @@
 from marjoramgrade import errors
 from marjoramgrade.adapters.peercodec import (
     MAX_FRAME_BYTES,
-    Done,
+    EmptyReply,
     Hello,
     PeerFrame,
     parse_frame,
@@ -26,7 +26,7 @@
 
 BODIES = [
     Hello("leeds-entry-1"),
-    Done(),
+    EmptyReply(),
     RunRequest("r", "s", "t", "k", b"\x00\xff", 900, True, "leeds.0"),
     RunReply(200, b"body", "b-1"),
     DispatchSummary("leeds.0", "a", 3, {"s": 16}, 2),
