--- a/marjoramgrade/adapters/peerlink.py
+++ b/marjoramgrade/adapters/peerlink.py
@@ -200,13 +200,16 @@
 
     Args:
         receiver: The actor that handles `InboundMessage` messages.
-        watcher: Told with `PeerDisconnected` of connections that end, or None.
+        disconnect_receiver: Told with `PeerDisconnected` of connections that end, or
+            None.
     """
 
-    def __init__(self, receiver: Actor, watcher: Actor | None = None) -> None:
+    def __init__(
+        self, receiver: Actor, disconnect_receiver: Actor | None = None
+    ) -> None:
         super().__init__()
         self._receiver = receiver
-        self._watcher = watcher
+        self._disconnect_receiver = disconnect_receiver
         self._streams: set[IOStream] = set()
         self._running: set[asyncio.Task[None]] = set()
 
@@ -232,9 +235,9 @@
                 frame = await read_frame(stream)
                 self._spawn(self._serve(stream, peer_id, frame))
         finally:
-            if self._watcher is not None:
+            if self._disconnect_receiver is not None:
                 with contextlib.suppress(ShuttingDownError):
-                    self._watcher.tell(PeerDisconnected(peer_id))
+                    self._disconnect_receiver.tell(PeerDisconnected(peer_id))
 
     async def close(self) -> None:
         """Stop accepting, let running calls end, and close every connection."""
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -22,15 +22,15 @@
 class Receiver(Actor):
     def __init__(self):
         super().__init__()
-        self.heard = []
+        self.received = []
 
     @handles(InboundMessage)
     async def _inbound(self, message: InboundMessage) -> None:
-        self.heard.append(message.message)
+        self.received.append(message.message)
 
     @handles(PeerDisconnected)
     async def _lost(self, message: PeerDisconnected) -> None:
-        self.heard.append(message)
+        self.received.append(message)
 
 
 async def until(condition):
@@ -53,8 +53,8 @@
             stack.push_async_callback(server.close)
             await link.start()
             link.tell(TellOverLink(LeaderBeat(1, "b")))
-            await until(lambda: receiver.heard == [LeaderBeat(1, "b")])
+            await until(lambda: receiver.received == [LeaderBeat(1, "b")])
             await link.stop()
-            await until(lambda: PeerDisconnected("b") in receiver.heard)
+            await until(lambda: PeerDisconnected("b") in receiver.received)
 
     asyncio.run(run())
