--- a/marjoramgrade/adapters/platform.py
+++ b/marjoramgrade/adapters/platformclient.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Tagged:
+class TaggedDocument:
     """A document and the tag of its version; empty if the platform gave none."""
 
     document: Any
@@ -69,7 +69,7 @@
         """
         return _parse_document(path, await self._get(path, self._headers))
 
-    async def get_changed(self, path: str, known_tag: str) -> Tagged | None:
+    async def get_if_changed(self, path: str, known_tag: str) -> TaggedDocument | None:
         """Return the JSON document at a path unless it is the known one.
 
         Args:
@@ -88,7 +88,7 @@
         if answer.status == HTTP_NOT_MODIFIED and known_tag:
             return None
         document = _parse_document(path, answer)
-        return Tagged(document, answer.headers.get("Etag", ""))
+        return TaggedDocument(document, answer.headers.get("Etag", ""))
 
     async def post(self, path: str, document: Any) -> tuple[int, Any]:
         """Send a JSON document and return the status and the answer.
@@ -196,7 +196,7 @@
             TableUnavailableError: If the platform gave no answer.
             ProtocolError: If the answer holds no list.
         """
-        changed = await self._client.get_changed("/v1/instances", self._tag)
+        changed = await self._client.get_if_changed("/v1/instances", self._tag)
         if changed is not None:
             try:
                 documents = list(changed.document["instances"])
--- a/marjoramgrade/composition.py
+++ b/marjoramgrade/composition.py
@@ -11,7 +11,11 @@
 from marjoramgrade.actor import Actor
 from marjoramgrade.adapters.backend import BackendClient
 from marjoramgrade.adapters.peerlink import PeerLink
-from marjoramgrade.adapters.platform import HttpTable, InstanceList, PlatformClient
+from marjoramgrade.adapters.platformclient import (
+    HttpTable,
+    InstanceList,
+    PlatformClient,
+)
 from marjoramgrade.adapters.workerlink import WorkerLink
 from marjoramgrade.clock import Clock
 from marjoramgrade.controllers.authority import AuthorityController
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -12,7 +12,7 @@
 from marjoramgrade.adapters.backend import BackendClient
 from marjoramgrade.adapters.httpfront import HttpServerState, make_server
 from marjoramgrade.adapters.peerlink import PeerServer
-from marjoramgrade.adapters.platform import PlatformClient
+from marjoramgrade.adapters.platformclient import PlatformClient
 from marjoramgrade.clock import SystemClock
 from marjoramgrade.composition import ControllerBuilder, ControllerSet
 from marjoramgrade.controllers.routes import SEND_INTERVAL_MS
--- a/tests/test_platform.py
+++ b/tests/test_platformclient.py
@@ -6,7 +6,7 @@
 import pytest
 from tornado.web import RequestHandler
 
-from marjoramgrade.adapters.platform import InstanceList, PlatformClient
+from marjoramgrade.adapters.platformclient import InstanceList, PlatformClient
 from marjoramgrade.errors import TableUnavailableError
 from tests.scriptedserver import ScriptedServer, says
 
