--- a/marjoramgrade/adapters/httpfront.py
+++ b/marjoramgrade/adapters/httpfront.py
@@ -29,8 +29,8 @@
     OversizedInputError,
     ShuttingDownError,
 )
-from marjoramgrade.filters.chain import Chain
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import FilterChain
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.metrics import Metrics
 
 DEFAULT_DEADLINE_MS = 10_000
@@ -56,7 +56,7 @@
         in_flight: Requests that have not been answered.
     """
 
-    chain: Chain
+    chain: FilterChain
     watch: Actor
     clock: Clock
     metrics: Metrics
@@ -70,7 +70,7 @@
     """A request and the context in which it passes the chain."""
 
     call: HttpCall
-    context: Context
+    context: RequestContext
 
 
 class BaseHandler(RequestHandler):
@@ -168,7 +168,9 @@
             deadline_ms - self.state.clock.now_ms(),
         )
         message = self.operation_by_method[self.request.method or ""].parse(call)
-        return _Call(call, Context(message, self.secret(), request_id, deadline_ms))
+        return _Call(
+            call, RequestContext(message, self.secret(), request_id, deadline_ms)
+        )
 
     async def _answer(self, operation: Operation, parsed: _Call) -> None:
         reply = await self.state.chain.handle(parsed.context)
@@ -187,7 +189,7 @@
         """Stream the changes after a version."""
         try:
             after = self._parse_after()
-            context = Context(
+            context = RequestContext(
                 Subscribe(after), self.secret(), uuid.uuid4().hex, self.deadline_ms()
             )
             subscription = await self.state.chain.handle(context)
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -21,7 +21,7 @@
 from marjoramgrade.decisions.queues import QUEUE_ORDERS
 from marjoramgrade.decisions.retries import RETRY_POLICIES
 from marjoramgrade.filters import access, requests, route  # noqa: F401  registers
-from marjoramgrade.filters.chain import FILTERS, Chain, Environment
+from marjoramgrade.filters.chain import FILTERS, FilterChain, FilterEnvironment
 from marjoramgrade.messages.ownership import DrainRequests, ReleaseShards
 from marjoramgrade.messages.routing import GetSummaries
 from marjoramgrade.settings import EntrySettings
@@ -135,7 +135,7 @@
     def _listen(self, controllers: ControllerSet) -> None:
         """Take requests of callers and operators."""
         settings = self._settings
-        environment = Environment(
+        environment = FilterEnvironment(
             settings,
             self._clock,
             self._metrics,
@@ -146,7 +146,7 @@
             controllers.watch,
         )
         self._state = HttpServerState(
-            Chain.from_config(environment),
+            FilterChain.from_config(environment),
             controllers.watch,
             self._clock,
             self._metrics,
--- a/marjoramgrade/filters/access.py
+++ b/marjoramgrade/filters/access.py
@@ -17,8 +17,8 @@
     StaleAuthorityError,
     UnauthenticatedError,
 )
-from marjoramgrade.filters.chain import FILTERS, Environment, Filter, Proceed
-from marjoramgrade.filters.context import Context, Principal
+from marjoramgrade.filters.chain import FILTERS, Filter, FilterEnvironment, Proceed
+from marjoramgrade.filters.context import Principal, RequestContext
 from marjoramgrade.messages.configuration import GetConfig
 from marjoramgrade.messages.jobs import CancelJob, GetJob, GetTasks, ListJobs, SubmitJob
 from marjoramgrade.messages.requests import RunRequest
@@ -55,7 +55,7 @@
         self._operator_key_sha256 = operator_key_sha256
 
     @classmethod
-    def from_config(cls, environment: Environment) -> AuthenticateFilter:
+    def from_config(cls, environment: FilterEnvironment) -> AuthenticateFilter:
         """Return the filter."""
         return cls(
             environment.config,
@@ -63,7 +63,7 @@
             environment.settings.operator_key_sha256,
         )
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse unknown and withdrawn keys."""
         if self._is_operator(context.secret):
             principal = Principal(is_operator=True)
@@ -76,7 +76,7 @@
             hash_secret(secret), self._operator_key_sha256
         )
 
-    async def _find_team(self, context: Context) -> Principal:
+    async def _find_team(self, context: RequestContext) -> Principal:
         if not context.secret:
             raise UnauthenticatedError("the request carries no key")
         confirmed = await self._config.ask(GetConfig())
@@ -102,11 +102,11 @@
         self._jobs = jobs
 
     @classmethod
-    def from_config(cls, environment: Environment) -> AuthorizeFilter:
+    def from_config(cls, environment: FilterEnvironment) -> AuthorizeFilter:
         """Return the filter."""
         return cls(environment.config, environment.jobs)
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse what the principal may not do; no rule means operators only."""
         confirmed = await self._config.ask(GetConfig())
         permit = _permit_by_type.get(type(context.message), permit_operators)
--- a/marjoramgrade/filters/chain.py
+++ b/marjoramgrade/filters/chain.py
@@ -11,7 +11,7 @@
 from marjoramgrade.actor import Actor
 from marjoramgrade.clock import Clock
 from marjoramgrade.errors import MarjoramgradeError
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.registry import Registry
 
@@ -19,11 +19,11 @@
     # The chain of queues is built without the settings of the `/v1` interface.
     from marjoramgrade.settings import EntrySettings
 
-Proceed = Callable[[Context], Awaitable[Any]]
+Proceed = Callable[[RequestContext], Awaitable[Any]]
 
 
 @attrs.frozen
-class Environment:
+class FilterEnvironment:
     """What filters are built from.
 
     Attributes:
@@ -52,11 +52,11 @@
 
     @classmethod
     @abc.abstractmethod
-    def from_config(cls, environment: Environment) -> Filter:
+    def from_config(cls, environment: FilterEnvironment) -> Filter:
         """Return a filter for this instance."""
 
     @abc.abstractmethod
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Handle a request, usually by letting it proceed.
 
         Args:
@@ -74,7 +74,7 @@
 FILTERS: Registry[type[Filter]] = Registry("filter")
 
 
-class Chain:
+class FilterChain:
     """Filters in order; the last one answers.
 
     Args:
@@ -87,7 +87,7 @@
         self._metrics = metrics
 
     @classmethod
-    def from_config(cls, environment: Environment) -> Chain:
+    def from_config(cls, environment: FilterEnvironment) -> FilterChain:
         """Return the chain that the settings name.
 
         Raises:
@@ -97,7 +97,7 @@
         filters = [FILTERS.get(name).from_config(environment) for name in names]
         return cls(filters, environment.metrics)
 
-    async def handle(self, context: Context) -> Any:
+    async def handle(self, context: RequestContext) -> Any:
         """Pass a request through the chain and return the reply.
 
         Raises:
@@ -109,8 +109,8 @@
             self._metrics.refused(error)
             raise
 
-    async def _apply(self, position: int, context: Context) -> Any:
-        async def proceed(next_context: Context) -> Any:
+    async def _apply(self, position: int, context: RequestContext) -> Any:
+        async def proceed(next_context: RequestContext) -> Any:
             return await self._apply(position + 1, next_context)
 
         return await self._filters[position].apply(context, proceed)
--- a/marjoramgrade/filters/context.py
+++ b/marjoramgrade/filters/context.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Context:
+class RequestContext:
     """One request on its way through the chain.
 
     Attributes:
--- a/marjoramgrade/filters/queues.py
+++ b/marjoramgrade/filters/queues.py
@@ -19,7 +19,7 @@
     UnauthenticatedError,
 )
 from marjoramgrade.filters.chain import Filter, Proceed
-from marjoramgrade.filters.context import Context, Principal
+from marjoramgrade.filters.context import Principal, RequestContext
 from marjoramgrade.messages.steps import (
     AwaitStepConfig,
     CancelStepJob,
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class QueueEnvironment:
+class QueueFilterEnvironment:
     """What the filters of queues are built from.
 
     Attributes:
@@ -70,7 +70,7 @@
         environment: What it is built from.
     """
 
-    def __init__(self, environment: QueueEnvironment) -> None:
+    def __init__(self, environment: QueueFilterEnvironment) -> None:
         self._environment = environment
 
     @classmethod
@@ -90,7 +90,7 @@
 class FindQueueFilter(QueueFilter):
     """Finds the queue by host and path."""
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Let the request proceed with its queue."""
         request = _request(context)
         config = await self._config()
@@ -107,7 +107,7 @@
 class CheckKeyFilter(QueueFilter):
     """Finds the team by the key, which only public queues do without."""
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Let the request proceed with its team."""
         config = await self._config()
         team = config.find_team(context.secret) if context.secret else None
@@ -122,7 +122,7 @@
 class CheckJobFilter(QueueFilter):
     """Turns the call into the message that the leader answers."""
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Let the request proceed as a message about one job or one queue."""
         request, queue = _request(context), _queue(context)
         job_id = context.request_id
@@ -142,7 +142,7 @@
         return await proceed(context)
 
     def _submission(
-        self, context: Context, request: QueueRequest, queue: Queue
+        self, context: RequestContext, request: QueueRequest, queue: Queue
     ) -> SubmitStepJob:
         if request.job is None:
             raise InvalidInputError("a job is missing")
@@ -161,7 +161,7 @@
 class HandOverFilter(QueueFilter):
     """The last filter: hands the message to the leader."""
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Return the leader's answer.
 
         Raises:
@@ -177,13 +177,13 @@
         return answer
 
 
-def _request(context: Context) -> QueueRequest:
+def _request(context: RequestContext) -> QueueRequest:
     if not isinstance(context.message, QueueRequest):
         raise ProtocolError("a queue filter got another message")
     return context.message
 
 
-def _queue(context: Context) -> Queue:
+def _queue(context: RequestContext) -> Queue:
     if context.queue is None:
         raise ProtocolError("the queue has not been found yet")
     return context.queue
--- a/marjoramgrade/filters/requests.py
+++ b/marjoramgrade/filters/requests.py
@@ -14,8 +14,8 @@
     OutcomeUnknownError,
     OverloadedError,
 )
-from marjoramgrade.filters.chain import FILTERS, Environment, Filter, Proceed
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import FILTERS, Filter, FilterEnvironment, Proceed
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.messages.requests import RunRequest
 
 # The owner refuses at the deadline; its "not run" needs this long to come back.
@@ -28,11 +28,11 @@
     """Checks that a request carries a usable id."""
 
     @classmethod
-    def from_config(cls, environment: Environment) -> IdentifyFilter:
+    def from_config(cls, environment: FilterEnvironment) -> IdentifyFilter:
         """Return the filter."""
         return cls()
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse ids that could not be kept or compared."""
         if not _REQUEST_ID.fullmatch(context.request_id):
             raise InvalidInputError(
@@ -53,11 +53,11 @@
         self._clock = clock
 
     @classmethod
-    def from_config(cls, environment: Environment) -> DeadlineFilter:
+    def from_config(cls, environment: FilterEnvironment) -> DeadlineFilter:
         """Return the filter."""
         return cls(environment.clock)
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse late requests and stop waiting for late replies."""
         remaining_ms = context.deadline_ms - self._clock.now_ms()
         if remaining_ms <= 0:
@@ -82,11 +82,11 @@
         self._in_flight: set[tuple[str, str]] = set()
 
     @classmethod
-    def from_config(cls, environment: Environment) -> DeduplicateFilter:
+    def from_config(cls, environment: FilterEnvironment) -> DeduplicateFilter:
         """Return the filter."""
         return cls()
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Let one copy of a non-idempotent request proceed at a time."""
         message = context.message
         if not isinstance(message, RunRequest) or message.idempotent:
@@ -114,11 +114,11 @@
         self._count_by_team: dict[str, int] = {}
 
     @classmethod
-    def from_config(cls, environment: Environment) -> AdmitFilter:
+    def from_config(cls, environment: FilterEnvironment) -> AdmitFilter:
         """Return the filter."""
         return cls(environment.settings.max_queued_requests)
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse requests over the bound, so that one team cannot fill the queue."""
         if not isinstance(context.message, RunRequest):
             return await proceed(context)
--- a/marjoramgrade/filters/route.py
+++ b/marjoramgrade/filters/route.py
@@ -8,8 +8,8 @@
 from marjoramgrade.controllers.instances import GetInstances
 from marjoramgrade.controllers.watch import Subscribe
 from marjoramgrade.errors import ProtocolError
-from marjoramgrade.filters.chain import FILTERS, Environment, Filter, Proceed
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import FILTERS, Filter, FilterEnvironment, Proceed
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.messages.configuration import ChangeConfig, GetConfig, GrantKey
 from marjoramgrade.messages.jobs import CancelJob, GetJob, GetTasks, ListJobs, SubmitJob
 from marjoramgrade.messages.requests import RunRequest
@@ -28,7 +28,7 @@
         self._controller_by_type = controller_by_type
 
     @classmethod
-    def from_config(cls, environment: Environment) -> RouteFilter:
+    def from_config(cls, environment: FilterEnvironment) -> RouteFilter:
         """Return the filter."""
         return cls(
             {
@@ -47,7 +47,7 @@
             }
         )
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Return the controller's reply."""
         controller = self._controller_by_type.get(type(context.message))
         if controller is None:
--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -30,11 +30,11 @@
 from marjoramgrade.controllers.storerouter import StoreRouter
 from marjoramgrade.errors import SettingsError
 from marjoramgrade.exposition import PrometheusMetrics
-from marjoramgrade.filters.chain import Chain
+from marjoramgrade.filters.chain import FilterChain
 from marjoramgrade.filters.queues import (
     DEFAULT_QUEUE_FILTERS,
     QUEUE_FILTERS,
-    QueueEnvironment,
+    QueueFilterEnvironment,
 )
 from marjoramgrade.messages.peers import Member
 from marjoramgrade.messages.steps import ReleaseLeadership
@@ -173,13 +173,15 @@
         self._listen(directory, forwarder)
 
     def _listen(self, directory: Actor, forwarder: Actor) -> None:
-        environment = QueueEnvironment(self._clock, self._metrics, directory, forwarder)
+        environment = QueueFilterEnvironment(
+            self._clock, self._metrics, directory, forwarder
+        )
         filters = [
             QUEUE_FILTERS.get(name).from_config(environment)  # type: ignore[arg-type]
             for name in DEFAULT_QUEUE_FILTERS
         ]
         self._front = ClientFrontend(
-            Chain(filters, self._metrics), self._clock, self._metrics
+            FilterChain(filters, self._metrics), self._clock, self._metrics
         )
         for server, address in (
             (self._front.make_server(), self._settings.front),
--- a/marjoramgrade/platform/frontend.py
+++ b/marjoramgrade/platform/frontend.py
@@ -25,8 +25,8 @@
     RefusedError,
     UnauthenticatedError,
 )
-from marjoramgrade.filters.chain import Chain
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import FilterChain
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.messages.steps import (
     PendingCount,
     QueueRequest,
@@ -87,7 +87,7 @@
         in_flight: Requests that have not been answered.
     """
 
-    chain: Chain
+    chain: FilterChain
     clock: Clock
     metrics: Metrics
     is_draining: bool = False
@@ -146,7 +146,7 @@
             )
             return status, msgspec.json.encode({"error": error.code})
 
-    def _context(self, request: HTTPServerRequest, began_ms: int) -> Context:
+    def _context(self, request: HTTPServerRequest, began_ms: int) -> RequestContext:
         verb = _VERB_BY_METHOD.get(request.method or "")
         if verb is None:
             raise InvalidInputError(f"the method {request.method} has no meaning here")
@@ -155,7 +155,7 @@
         job = parse_job(request.body) if verb is QueueVerb.SUBMIT else None
         host = request.host.rpartition(":")[0] or request.host
         secret = request.headers.get("Authorization", "")
-        return Context(
+        return RequestContext(
             QueueRequest(verb, host.lower(), request.path, job),
             secret.removeprefix(BEARER) if secret.startswith(BEARER) else "",
             "",
--- a/tests/test_filters_queues.py
+++ b/tests/test_filters_queues.py
@@ -17,12 +17,12 @@
     StaleAuthorityError,
     UnauthenticatedError,
 )
-from marjoramgrade.filters.chain import Chain
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import FilterChain
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.filters.queues import (
     DEFAULT_QUEUE_FILTERS,
     QUEUE_FILTERS,
-    QueueEnvironment,
+    QueueFilterEnvironment,
 )
 from marjoramgrade.messages.steps import (
     AwaitStepConfig,
@@ -70,7 +70,9 @@
 @contextlib.asynccontextmanager
 async def chain_to(directory):
     forwarder = FakeForwarder()
-    environment = QueueEnvironment(ManualClock(), MemoryMetrics(), directory, forwarder)
+    environment = QueueFilterEnvironment(
+        ManualClock(), MemoryMetrics(), directory, forwarder
+    )
     filters = [
         QUEUE_FILTERS.get(name).from_config(environment)
         for name in DEFAULT_QUEUE_FILTERS
@@ -79,12 +81,12 @@
         for actor in (directory, forwarder):
             await actor.start()
             stack.push_async_callback(actor.stop)
-        yield Chain(filters, MemoryMetrics())
+        yield FilterChain(filters, MemoryMetrics())
 
 
 async def ask(chain, path, host=URGENT.host):
     request = QueueRequest(QueueVerb.STATE, host, path, None)
-    return await chain.handle(Context(request, "", "", 1_000))
+    return await chain.handle(RequestContext(request, "", "", 1_000))
 
 
 def run(directory, path, host=URGENT.host):
--- a/tests/test_httpfront.py
+++ b/tests/test_httpfront.py
@@ -10,8 +10,8 @@
 from marjoramgrade.actor import Actor
 from marjoramgrade.adapters.httpfront import HttpServerState, make_server
 from marjoramgrade.clock import SystemClock
-from marjoramgrade.filters.chain import Chain, Filter, Proceed
-from marjoramgrade.filters.context import Context
+from marjoramgrade.filters.chain import Filter, FilterChain, Proceed
+from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.messages.jobs import ListJobs
 from marjoramgrade.metrics import MemoryMetrics
 
@@ -23,7 +23,7 @@
     def from_config(cls, environment: Any) -> "EmptyFilter":
         return cls()
 
-    async def apply(self, context: Context, proceed: Proceed) -> Any:
+    async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         assert isinstance(context.message, ListJobs)
         return ()
 
@@ -31,7 +31,7 @@
 async def _exchange(requests: list[bytes]) -> tuple[list[bytes], MemoryMetrics]:
     """Send raw requests, each on a connection of its own."""
     metrics = MemoryMetrics()
-    chain = Chain([EmptyFilter()], metrics)
+    chain = FilterChain([EmptyFilter()], metrics)
     state = HttpServerState(chain, Actor(), SystemClock(), metrics, MAX_BODY_BYTES)
     server = make_server(state, MAX_BODY_BYTES)
     socket, port = bind_unused_port()
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -26,7 +26,7 @@
     UnauthenticatedError,
     WriteOutcomeUnknownError,
 )
-from marjoramgrade.filters.chain import Chain, Filter
+from marjoramgrade.filters.chain import Filter, FilterChain
 from marjoramgrade.messages.rows import CommitRows, ReadRows, RowId, RowWrite
 from marjoramgrade.messages.steps import PendingCount, StepJobShown
 from marjoramgrade.metrics import MemoryMetrics
@@ -249,7 +249,7 @@
     # Guards against callers who hammer or give up, and against unread answers.
     async def run():
         front = ClientFrontend(
-            Chain([StubFilter()], MemoryMetrics()), SystemClock(), MemoryMetrics()
+            FilterChain([StubFilter()], MemoryMetrics()), SystemClock(), MemoryMetrics()
         )
         server = front.make_server()
         server.listen(0, "127.0.0.1")
