--- a/marjoramgrade/filters/queues.py
+++ b/marjoramgrade/filters/queues.py
@@ -38,7 +38,7 @@
 
 # An instance that has just started reads the configuration within some 50 ms; a caller
 # that is refused meanwhile comes back a second later.
-FIRST_CONFIG_MS = 400
+FIRST_CONFIG_TIMEOUT_MS = 400
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 
@@ -82,7 +82,7 @@
         directory = self._environment.directory
         config = await directory.ask(GetStepConfig())
         if not config.version:
-            config = await directory.ask(AwaitStepConfig(1, FIRST_CONFIG_MS))
+            config = await directory.ask(AwaitStepConfig(1, FIRST_CONFIG_TIMEOUT_MS))
         return config
 
 
@@ -158,7 +158,7 @@
 
 
 @QUEUE_FILTERS.register("hand_over")
-class HandOverFilter(QueueFilter):
+class ForwardFilter(QueueFilter):
     """The last filter: hands the message to the leader."""
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
--- a/marjoramgrade/filters/requests.py
+++ b/marjoramgrade/filters/requests.py
@@ -24,11 +24,11 @@
 
 
 @FILTERS.register("identify")
-class IdentifyFilter(Filter):
+class RequestIdFilter(Filter):
     """Checks that a request carries a usable id."""
 
     @classmethod
-    def from_config(cls, environment: FilterEnvironment) -> IdentifyFilter:
+    def from_config(cls, environment: FilterEnvironment) -> RequestIdFilter:
         """Return the filter."""
         return cls()
 
