--- a/marjoramgrade/filters/access.py
+++ b/marjoramgrade/filters/access.py
@@ -24,14 +24,16 @@
 from marjoramgrade.messages.requests import RunRequest
 from marjoramgrade.model import Config, hash_secret
 
-Permit = Callable[[Any, Principal, Config, Actor], Awaitable[None]]
-_permit_by_type: dict[type, Permit] = {}
+AccessRule = Callable[[Any, Principal, Config, Actor], Awaitable[None]]
+_permit_by_type: dict[type, AccessRule] = {}
 
 
-def permits(*message_types: type[Message[Any]]) -> Callable[[Permit], Permit]:
+def access_rule(
+    *message_types: type[Message[Any]],
+) -> Callable[[AccessRule], AccessRule]:
     """Return a decorator that registers the rule for these messages."""
 
-    def add(permit: Permit) -> Permit:
+    def add(permit: AccessRule) -> AccessRule:
         for message_type in message_types:
             _permit_by_type[message_type] = permit
         return permit
@@ -109,7 +111,7 @@
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
         """Refuse what the principal may not do; no rule means operators only."""
         confirmed = await self._config.ask(GetConfig())
-        permit = _permit_by_type.get(type(context.message), permit_operators)
+        permit = _permit_by_type.get(type(context.message), require_operator)
         await permit(context.message, context.principal, confirmed.config, self._jobs)
         message = _narrow(context.message, context.principal)
         return await proceed(attrs.evolve(context, message=message))
@@ -124,7 +126,7 @@
     return message
 
 
-async def permit_operators(
+async def require_operator(
     message: Any, principal: Principal, config: Config, jobs: Actor
 ) -> None:
     """Permit operators only."""
@@ -132,14 +134,14 @@
         raise ForbiddenError("this operation needs the operators' key")
 
 
-@permits(ListJobs, Subscribe)
+@access_rule(ListJobs, Subscribe)
 async def _permit_narrowed(
     message: Any, principal: Principal, config: Config, jobs: Actor
 ) -> None:
     """Permit everyone; the message is narrowed to the principal's team."""
 
 
-@permits(RunRequest)
+@access_rule(RunRequest)
 async def _permit_run(
     message: RunRequest, principal: Principal, config: Config, jobs: Actor
 ) -> None:
@@ -152,7 +154,7 @@
         raise ForbiddenError(f"service {service.name} belongs to another team")
 
 
-@permits(SubmitJob)
+@access_rule(SubmitJob)
 async def _permit_submit(
     message: SubmitJob, principal: Principal, config: Config, jobs: Actor
 ) -> None:
@@ -162,7 +164,7 @@
         raise ForbiddenError(f"the key does not belong to team {message.spec.team}")
 
 
-@permits(GetJob, CancelJob, GetTasks)
+@access_rule(GetJob, CancelJob, GetTasks)
 async def _permit_own_job(
     message: GetJob | CancelJob | GetTasks,
     principal: Principal,
