--- a/marjoramgrade/cli.py
+++ b/marjoramgrade/cli.py
@@ -8,7 +8,7 @@
 import typer
 
 from marjoramgrade.commands import daemon, operations, resources, work
-from marjoramgrade.commands.output import OUTPUTS
+from marjoramgrade.commands.output import OUTPUT_FORMATS
 from marjoramgrade.commands.session import Session, read_input
 from marjoramgrade.errors import InvalidInputError
 
@@ -35,13 +35,15 @@
         typer.Option(envvar="MARJORAMGRADE_KEY_FILE", help="File with the secret."),
     ] = None,
     output: Annotated[
-        str, typer.Option(help=f"One of {', '.join(OUTPUTS.iter_names())}.")
+        str, typer.Option(help=f"One of {', '.join(OUTPUT_FORMATS.iter_names())}.")
     ] = "table",
 ) -> None:
     """Take over the options that all commands share."""
-    session = Session(url, "", output if output in OUTPUTS.iter_names() else "table")
-    with session.reporting():
-        OUTPUTS.get(output)
+    session = Session(
+        url, "", output if output in OUTPUT_FORMATS.iter_names() else "table"
+    )
+    with session.exit_on_error():
+        OUTPUT_FORMATS.get(output)
         # Other users of a machine can read the arguments of a process, so the
         # secret comes from a file.
         secret = _read_secret(key_file) if key_file is not None else ""
@@ -59,7 +61,7 @@
 
 
 def _check_url(session: Session, url: str) -> str:
-    with session.reporting():
+    with session.exit_on_error():
         if not url.startswith(("http://", "https://")) or not url.isprintable():
             raise InvalidInputError("the URL must start with http:// or https://")
     return url
--- a/marjoramgrade/commands/daemon.py
+++ b/marjoramgrade/commands/daemon.py
@@ -33,7 +33,7 @@
 ) -> None:
     """Run an entry instance until SIGTERM."""
     entry = _entry()
-    with session_of(context).reporting():
+    with session_of(context).exit_on_error():
         checked = settingsfile.read_entry_settings(settings, entry.KNOWN_NAMES)
     entry.run(checked)
 
@@ -41,7 +41,7 @@
 @settings_app.command()
 def check(context: typer.Context, file: FileArgument) -> None:
     """Check the settings of one entry instance and show them whole."""
-    with session_of(context).reporting():
+    with session_of(context).exit_on_error():
         checked = settingsfile.read_entry_settings(file, _entry().KNOWN_NAMES)
     _echo(settingsfile.serialize_entry_settings(checked))
 
@@ -53,7 +53,7 @@
     instance: Annotated[str, typer.Option(help="Id of the entry instance.")],
 ) -> None:
     """Show the settings of one entry instance of a deployment."""
-    with session_of(context).reporting():
+    with session_of(context).exit_on_error():
         cell = deployment.read_deployment(file)
         rendered = deployment.render_settings(cell, instance, _entry().KNOWN_NAMES)
     _echo(settingsfile.serialize_entry_settings(rendered))
@@ -62,7 +62,7 @@
 @settings_app.command()
 def seed(context: typer.Context, file: FileArgument) -> None:
     """Show the first teams, zones and services of a deployment, for `apply`."""
-    with session_of(context).reporting():
+    with session_of(context).exit_on_error():
         cell = deployment.read_deployment(file)
     _echo(deployment.serialize_seed(cell))
 
--- a/marjoramgrade/commands/operations.py
+++ b/marjoramgrade/commands/operations.py
@@ -59,13 +59,13 @@
             versions = {}
         done = {zone for zone in waiting if versions.get(zone, 0) >= version}
         for zone in sorted(done):
-            session.note(f"version {version} is in force in {zone}")
+            session.print_message(f"version {version} is in force in {zone}")
         waiting -= done
         if not waiting or clock.now_ms() >= until_ms:
             break
         await asyncio.sleep(POLL_INTERVAL_MS / 1000)
     for zone in sorted(waiting):
-        session.note(f"version {version} is not confirmed by {zone}")
+        session.print_message(f"version {version} is not confirmed by {zone}")
     return not waiting
 
 
@@ -83,7 +83,7 @@
         if found.value.state is not state:
             zone = attrs.evolve(found.value, state=state)
             version = await client.put(ZONES, zone, found.version)
-        session.note(f"version {version} takes zone {name} {state.value}")
+        session.print_message(f"version {version} takes zone {name} {state.value}")
         return version, await wait_in_force(session, client, version, wait_ms)
 
     version, in_force = session.run(work)
--- a/marjoramgrade/commands/output.py
+++ b/marjoramgrade/commands/output.py
@@ -52,24 +52,24 @@
     rows: Sequence[Document]
 
 
-OUTPUTS: Registry[Callable[[View], str]] = Registry("output form")
+OUTPUT_FORMATS: Registry[Callable[[View], str]] = Registry("output form")
 
 
-@OUTPUTS.register("json")
-def show_json(view: View) -> str:
+@OUTPUT_FORMATS.register("json")
+def format_json(view: View) -> str:
     """Return a result as indented JSON."""
     return jsontext.serialize_pretty(view.document)
 
 
-@OUTPUTS.register("table")
-def show_table(view: View) -> str:
+@OUTPUT_FORMATS.register("table")
+def format_table(view: View) -> str:
     """Return a result as a table with a line of column names."""
     columns = COLUMNS_BY_KIND[view.kind]
     cells = [[_cell(row.get(column, "")) for column in columns] for row in view.rows]
-    return "\n".join(format_lines([[c.upper() for c in columns], *cells]))
+    return "\n".join(align_columns([[c.upper() for c in columns], *cells]))
 
 
-def format_lines(rows: Sequence[Sequence[str]]) -> Iterable[str]:
+def align_columns(rows: Sequence[Sequence[str]]) -> Iterable[str]:
     """Yield rows with their columns aligned."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
@@ -84,10 +84,10 @@
         shown = "yes" if value else "no"
     else:
         shown = str(value)
-    return printable(shown, MAX_CELL_LENGTH)
+    return sanitize_text(shown, MAX_CELL_LENGTH)
 
 
-def printable(text: str, limit: int) -> str:
+def sanitize_text(text: str, limit: int) -> str:
     """Return text that cannot control a terminal, cut to a length."""
     plain = "".join(c if c.isprintable() else "?" for c in text[: limit + 1])
     return plain if len(plain) <= limit else plain[: limit - 1] + "…"
--- a/marjoramgrade/commands/resources.py
+++ b/marjoramgrade/commands/resources.py
@@ -102,7 +102,7 @@
 ) -> None:
     """Show resources."""
     session = session_of(context)
-    with session.reporting():
+    with session.exit_on_error():
         read = READERS.get(kind)
     session.show(session.run(lambda client: read(client, name)))
 
@@ -118,7 +118,7 @@
 ) -> None:
     """Delete a resource."""
     session = session_of(context)
-    with session.reporting():
+    with session.exit_on_error():
         found = RESOURCE_KINDS.get(kind)
     version = session.run(lambda client: client.delete(found, name, if_version))
     row = {"kind": kind, "name": name, "result": "deleted", "version": version}
@@ -190,7 +190,7 @@
 ) -> None:
     """Create or change the teams, zones and services in a file."""
     session = session_of(context)
-    with session.reporting():
+    with session.exit_on_error():
         plan = parse_plan(read_document(file))
     rows: list[dict[str, Any]] = []
 
--- a/marjoramgrade/commands/session.py
+++ b/marjoramgrade/commands/session.py
@@ -14,7 +14,7 @@
 
 from marjoramgrade import errors, jsontext
 from marjoramgrade.api import Client
-from marjoramgrade.commands.output import OUTPUTS, View, printable
+from marjoramgrade.commands.output import OUTPUT_FORMATS, View, sanitize_text
 from marjoramgrade.transport import ServerUnreachableError
 
 R = TypeVar("R")
@@ -70,7 +70,7 @@
             async with Client.from_url(self.url, self.secret) as client:
                 return await work(client)
 
-        with self.reporting():
+        with self.exit_on_error():
             try:
                 return asyncio.run(connected())
             except KeyboardInterrupt:
@@ -78,18 +78,18 @@
 
     def show(self, view: View) -> None:
         """Write a result to the standard output."""
-        typer.echo(OUTPUTS.get(self.output)(view))
+        typer.echo(OUTPUT_FORMATS.get(self.output)(view))
 
     def show_rows(self, kind: str, rows: list[dict[str, Any]]) -> None:
         """Write documents that are their own rows."""
         self.show(View(rows, kind, rows))
 
-    def note(self, text: str) -> None:
+    def print_message(self, text: str) -> None:
         """Tell a person about progress, on the error stream."""
-        typer.echo(printable(text, MAX_MESSAGE_LENGTH), err=True)
+        typer.echo(sanitize_text(text, MAX_MESSAGE_LENGTH), err=True)
 
     @contextmanager
-    def reporting(self) -> Iterator[None]:
+    def exit_on_error(self) -> Iterator[None]:
         """Turn typed errors into a message and an exit code."""
         try:
             yield
@@ -108,9 +108,9 @@
             }
             typer.echo(jsontext.serialize_pretty({"error": report}), err=True)
             return
-        self.note(f"{error.code}: {error.message}")
+        self.print_message(f"{error.code}: {error.message}")
         for name, value in sorted(error.details.items()):
-            self.note(f"  {name}: {value}")
+            self.print_message(f"  {name}: {value}")
 
 
 def session_of(context: typer.Context) -> Session:
--- a/marjoramgrade/commands/work.py
+++ b/marjoramgrade/commands/work.py
@@ -45,7 +45,7 @@
 ) -> None:
     """Submit a job."""
     session = session_of(context)
-    with session.reporting():
+    with session.exit_on_error():
         spec = documents.parse_job_spec(read_document(file))
 
     async def work(client: Client) -> Job:
@@ -89,7 +89,7 @@
 ) -> None:
     """Run a request on a service and write the answer as it came."""
     session = session_of(context)
-    with session.reporting():
+    with session.exit_on_error():
         data = read_input(body)
     answer = session.run(
         lambda client: client.run(
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 
 from marjoramgrade import errors
 from marjoramgrade.cli import app
-from marjoramgrade.commands.output import format_lines, printable
+from marjoramgrade.commands.output import align_columns, sanitize_text
 from marjoramgrade.commands.session import exit_code_of
 from tests.scriptedserver import Answer, ScriptedServer, fails, hangs_up, run, says
 from tests.scriptedserver import streams as streams_lines
@@ -282,6 +282,6 @@
 
 def test_text_from_others_cannot_control_the_terminal() -> None:
     """Guards against a job's reason that rewrites an operator's screen."""
-    assert printable("\x1b[2Jx\n", 10) == "?[2Jx?"
-    assert len(printable("x" * 100, 10)) == 10
-    assert list(format_lines([["a", "bb"], ["ccc", "d"]])) == ["a    bb", "ccc  d"]
+    assert sanitize_text("\x1b[2Jx\n", 10) == "?[2Jx?"
+    assert len(sanitize_text("x" * 100, 10)) == 10
+    assert list(align_columns([["a", "bb"], ["ccc", "d"]])) == ["a    bb", "ccc  d"]
