--- a/marjoramgrade/commands/operations.py
+++ b/marjoramgrade/commands/operations.py
@@ -18,7 +18,7 @@
 
 app = typer.Typer()
 # The design page promises that a configuration is in force everywhere by then.
-IN_FORCE_MS = 8_000
+DEFAULT_WAIT_MS = 8_000
 MAX_WAIT_MS = 600_000
 POLL_INTERVAL_MS = 200
 
@@ -30,7 +30,7 @@
 ]
 
 
-async def read_versions(client: Client) -> Mapping[str, int]:
+async def read_confirmed_versions(client: Client) -> Mapping[str, int]:
     """Return, for each zone, the configuration version that it confirmed last."""
     status = await client.status()
     config = status.get("config")
@@ -54,7 +54,7 @@
     waiting = {zone.name for zone in listing.items}
     while waiting:
         try:
-            versions = await read_versions(client)
+            versions = await read_confirmed_versions(client)
         except ServerUnreachableError:
             versions = {}
         done = {zone for zone in waiting if versions.get(zone, 0) >= version}
@@ -93,7 +93,7 @@
 
 @app.command("zone-out")
 def zone_out(
-    context: typer.Context, name: str, wait_ms: WaitOption = IN_FORCE_MS
+    context: typer.Context, name: str, wait_ms: WaitOption = DEFAULT_WAIT_MS
 ) -> None:
     """Take a zone out: nothing starts there any more."""
     _move(session_of(context), name, ZoneState.OUT, wait_ms)
@@ -101,7 +101,7 @@
 
 @app.command("zone-in")
 def zone_in(
-    context: typer.Context, name: str, wait_ms: WaitOption = IN_FORCE_MS
+    context: typer.Context, name: str, wait_ms: WaitOption = DEFAULT_WAIT_MS
 ) -> None:
     """Take a zone back in."""
     _move(session_of(context), name, ZoneState.IN, wait_ms)
@@ -120,7 +120,7 @@
 
 @app.command("withdraw-key")
 def withdraw_key(
-    context: typer.Context, name: str, wait_ms: WaitOption = IN_FORCE_MS
+    context: typer.Context, name: str, wait_ms: WaitOption = DEFAULT_WAIT_MS
 ) -> None:
     """Delete a key and wait until no zone accepts it."""
     session = session_of(context)
--- a/marjoramgrade/commands/resources.py
+++ b/marjoramgrade/commands/resources.py
@@ -31,8 +31,8 @@
 # Teams come first, because services and keys name them.
 APPLY_ORDER = (TEAMS, ZONES, SERVICES)
 
-Read = Callable[[Client, str], Awaitable[View]]
-READERS: Registry[Read] = Registry("kind of resource")
+Reader = Callable[[Client, str], Awaitable[View]]
+READERS: Registry[Reader] = Registry("kind of resource")
 
 
 async def _read_configured(kind: ResourceKind[Any], client: Client, name: str) -> View:
@@ -163,7 +163,7 @@
     return found
 
 
-async def apply_one(
+async def apply_resource(
     client: Client, kind: ResourceKind[Any], wanted: Any
 ) -> dict[str, Any]:
     """Make one resource as wanted, and return a row about what was done.
@@ -196,7 +196,7 @@
 
     async def work(client: Client) -> None:
         for kind, wanted in plan.resources:
-            rows.append(await apply_one(client, kind, wanted))
+            rows.append(await apply_resource(client, kind, wanted))
 
     try:
         session.run(work)
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -20,7 +20,7 @@
 
 from marjoramgrade.actor import ActorGroup
 from marjoramgrade.api import Client
-from marjoramgrade.commands.operations import read_versions
+from marjoramgrade.commands.operations import read_confirmed_versions
 from marjoramgrade.deployment import Deployment, read_deployment
 from marjoramgrade.documents import Document, serialize_team
 from marjoramgrade.errors import MarjoramgradeError, RefusedError
@@ -156,7 +156,7 @@
         confirmed: set[str] = set()
 
         async def is_in_force() -> bool:
-            by_zone = await read_versions(self.operator)
+            by_zone = await read_confirmed_versions(self.operator)
             for zone in sorted(by_zone):
                 if by_zone[zone] >= version and zone not in confirmed:
                     confirmed.add(zone)
