--- a/tests/test_filters_queues.py
+++ b/tests/test_filters_queues.py
@@ -39,13 +39,13 @@
 CONFIG = StepConfig(3, {URGENT.name: URGENT}, {}, {})
 
 
-class Directory(Actor):
+class FakeDirectory(Actor):
     """Has the configuration at once, later or never."""
 
-    def __init__(self, config, later=None):
+    def __init__(self, config, later_config=None):
         super().__init__()
         self.config = config
-        self.later = later
+        self.later_config = later_config
 
     @handles(GetStepConfig)
     async def _get(self, message: GetStepConfig) -> StepConfig:
@@ -53,9 +53,9 @@
 
     @handles(AwaitStepConfig)
     async def _await(self, message: AwaitStepConfig) -> StepConfig:
-        if self.later is None:
+        if self.later_config is None:
             raise StaleAuthorityError("not here yet")
-        self.config = self.later
+        self.config = self.later_config
         return self.config
 
 
@@ -101,26 +101,26 @@
     # Guards against refusing, for a second, callers that come within 50 ms of a restart
     # (kbwb-arrears-grown trouble-1, 43.5 s).
     with pytest.raises(UnauthenticatedError):
-        run(Directory(StepConfig(), CONFIG), URGENT.path_prefix + JOB_ID)
+        run(FakeDirectory(StepConfig(), CONFIG), URGENT.path_prefix + JOB_ID)
 
 
 def test_instance_without_a_configuration_refuses():
     # Guards against a caller that is told that its queue does not exist.
     with pytest.raises(StaleAuthorityError):
-        run(Directory(StepConfig()), URGENT.path_prefix + JOB_ID)
+        run(FakeDirectory(StepConfig()), URGENT.path_prefix + JOB_ID)
 
 
 def test_unknown_queue_and_missing_key_are_told_apart():
     # Guards against a 401 for a queue that does not exist.
     with pytest.raises(QueueNotFoundError):
-        run(Directory(CONFIG), "/other/" + JOB_ID)
+        run(FakeDirectory(CONFIG), "/other/" + JOB_ID)
 
 
 def test_public_queue_needs_no_key():
     # Guards against refusing the callers of a public queue.
     public = attrs.evolve(URGENT, public=True)
     config = StepConfig(3, {public.name: public}, {}, {})
-    got = run(Directory(config), URGENT.path_prefix + JOB_ID)
+    got = run(FakeDirectory(config), URGENT.path_prefix + JOB_ID)
     assert got == GetStepJob(JOB_ID)
     with pytest.raises(JobNotFoundError):
-        run(Directory(config), URGENT.path_prefix + "not-an-id")
+        run(FakeDirectory(config), URGENT.path_prefix + "not-an-id")
