--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -1,4 +1,4 @@
-"""How far a job of steps has come: its tasks, runs, failures and checkpoints."""
+"""Progress of a step job: its tasks, runs, failures and checkpoints."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from marjoramgrade.stepconfig import Queue
 from marjoramgrade.stepjobs import Step, StepJob, StepJobState, TaskRef
 
-# Tasks of a step of which the duration is known, before it tells what is usual.
+# Known durations that a step needs before its usual duration is computed.
 MIN_DURATION_SAMPLES = 3
-# A run that needs this many times the usual duration is on a slow worker; tasks of
-# one step differ by a third among themselves.
+# A run that takes this many times the usual duration is on a slow worker; durations
+# within a step differ by a third.
 SLOW_FACTOR = 3.2
 
 
@@ -34,21 +34,23 @@
 
     Attributes:
         job: The job.
-        occurrence: Which occurrence.
-        index: Which step.
-        step: The step as handed in.
+        occurrence: Number of the occurrence.
+        index: Index of the step in the job.
+        step: The step as submitted.
         phases: Phase of each task.
-        runs_by_index: Runs that are present, by task.
-        failed_runs_by_index: Numbers of the runs that failed, by task; a gang counts
-            under its first task.
-        checkpoint_by_index: Newest checkpoint by task; a gang's under its first task.
-        avoided_workers_by_index: Workers on which the task did badly.
+        runs_by_index: Present runs by task.
+        failed_runs_by_index: Numbers of the failed runs by task; those of a gang are
+            stored under its first task.
+        checkpoint_by_index: Newest checkpoint by task; that of a gang is stored under
+            its first task.
+        avoided_workers_by_index: Workers on which a run of the task failed or was
+            found unhealthy, by task.
         last_run_by_index: Highest run number by task.
-        tickets: Advice on where it may run.
-        ready_ms: When its turn came, or None.
+        tickets: Advice on which workers may run the step.
+        ready_ms: When the step was first found ready to run, or None.
         done_count: Number of tasks that are done.
-        done_durations: How long the runs that were done took, in milliseconds.
-        rack_in_use: Rack of its runs if they should share one, or empty.
+        done_durations: Durations of completed runs, in milliseconds.
+        rack_in_use: Rack of the runs if they should share a rack, or empty.
     """
 
     job: JobProgress
@@ -71,7 +73,7 @@
     def from_step(
         cls, job: JobProgress, occurrence: int, index: int, step: Step
     ) -> StepProgress:
-        """Return a step of which nothing has run."""
+        """Return the progress of a step that has not run."""
         return cls(job, occurrence, index, step, [TaskPhase.WAITING] * step.count)
 
     @property
@@ -81,11 +83,11 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Job, occurrence and index."""
+        """Job id, occurrence and index of the step."""
         return (self.job.job.job_id, self.occurrence, self.index)
 
     def task(self, index: int) -> TaskRef:
-        """Return one of its tasks."""
+        """Return the reference to a task of the step."""
         return TaskRef(self.job.job.job_id, self.occurrence, self.index, index)
 
     def iter_waiting(self) -> Iterator[int]:
@@ -100,12 +102,12 @@
         return TaskPhase.WAITING in self.phases
 
     def iter_runs(self) -> Iterator[Run]:
-        """Yield the runs that are present."""
+        """Yield the present runs."""
         for runs in self.runs_by_index.values():
             yield from runs
 
     def usual_duration_ms(self) -> float | None:
-        """Return how long tasks of the step take, judged by its own tasks.
+        """Return the median of the known and predicted task durations of the step.
 
         Durations differ widely from job to job and little within a step.
 
@@ -124,11 +126,11 @@
         )
 
     def count_runs_on(self, worker_id: str) -> int:
-        """Return how many runs of the step a worker has."""
+        """Return the number of runs of the step on a worker."""
         return sum(1 for run in self.iter_runs() if run.worker_id == worker_id)
 
     def shared_index(self, index: int) -> int:
-        """Return the task under which failures and checkpoints are kept."""
+        """Return the task under which failures and checkpoints are stored."""
         return 0 if self.step.gang else index
 
     def checkpoint_of(self, index: int) -> str:
@@ -136,7 +138,7 @@
         return self.checkpoint_by_index.get(self.shared_index(index), "")
 
     def record_checkpoint(self, index: int, checkpoint: str) -> None:
-        """Remember a checkpoint unless it is empty."""
+        """Store a checkpoint unless it is empty or the step uses none."""
         if checkpoint and self.step.checkpoints:
             self.checkpoint_by_index[self.shared_index(index)] = checkpoint
 
@@ -149,7 +151,7 @@
         self.failed_runs_by_index.setdefault(self.shared_index(index), set()).add(run)
 
     def mark_done(self, index: int) -> None:
-        """Note that a task, or the whole gang of it, is done."""
+        """Mark a task, or its whole gang, done."""
         indexes = range(self.step.count) if self.step.gang else (index,)
         for done in indexes:
             if self.phases[done] is not TaskPhase.DONE:
@@ -157,7 +159,7 @@
                 self.done_count += 1
 
     def add_run(self, run: Run) -> None:
-        """Note a run; its task is placed."""
+        """Add a run; its task is placed."""
         index = run.task.index
         self.runs_by_index.setdefault(index, []).append(run)
         self.last_run_by_index[index] = max(
@@ -167,7 +169,7 @@
             self.phases[index] = TaskPhase.PLACED
 
     def remove_run(self, run: Run) -> None:
-        """Forget a run; its task waits again unless it is done or has a copy."""
+        """Remove a run; its task waits again unless done or running elsewhere."""
         index = run.task.index
         runs = self.runs_by_index.get(index, [])
         if run in runs:
@@ -189,10 +191,10 @@
 
 @attrs.frozen
 class StepRecord:
-    """The lasting part of a step's progress.
+    """The persistent part of a step's progress.
 
     Attributes:
-        done: `1` for each task that is done, `0` for each other one.
+        done: One character per task, `1` if it is done and `0` if not.
         failed_runs: Numbers of failed runs by task.
         checkpoints: Newest checkpoint by task.
         placed: Runs that workers have or may have.
@@ -206,14 +208,14 @@
 
 @attrs.frozen
 class JobRecord:
-    """The lasting part of a job's progress.
+    """The persistent part of a job's progress.
 
     Attributes:
-        state: Its state as last stored; `queued` and `running` say the same.
-        ended_unix_ms: When it reached a final state, or 0.
-        step_by_name: The steps of which something has ended, by
-            `occurrence.index`.
-        occurrences_done: Occurrences below this number are done entirely.
+        state: State as last stored; `queued` and `running` are equivalent here.
+        ended_unix_ms: When the job reached a final state, or 0.
+        step_by_name: Records of the steps with done tasks, failed runs or present
+            runs, by `occurrence.index`.
+        occurrences_done: All occurrences below this number are done.
     """
 
     state: StepJobState = StepJobState.QUEUED
@@ -224,20 +226,20 @@
 
 @attrs.define(eq=False)
 class JobProgress:
-    """A job and how far it has come.
+    """A job and its progress.
 
     Attributes:
-        job: The job as handed in.
-        queue: Its queue.
-        accepted_ms: When it was taken, on this instance's clock.
-        stored: Whether the store holds it; callers see it only then.
-        state: Its state.
+        job: The job as submitted.
+        queue: The queue of the job.
+        accepted_ms: When the job was accepted, on this instance's clock.
+        stored: Whether the job is in the store; callers see only stored jobs.
+        state: The current state.
         steps_by_occurrence: Steps of the occurrences that have become due.
-        started: Whether a task of it has ever started.
-        beyond_weight: Whether its team had used up its weight when it came.
-        occurrences_done: Occurrences below this number are done entirely.
-        ended_unix_ms: When it reached a final state, or 0.
-        visible_state: The state that the store holds; callers see this one.
+        started: Whether any task of the job has ever started.
+        beyond_weight: Whether the team had used up its weight when the job arrived.
+        occurrences_done: All occurrences below this number are done.
+        ended_unix_ms: When the job reached a final state, or 0.
+        visible_state: The state in the store, which callers see.
     """
 
     job: StepJob
@@ -253,7 +255,7 @@
     visible_state: StepJobState = StepJobState.QUEUED
 
     def open_occurrence(self, occurrence: int) -> list[StepProgress]:
-        """Return the steps of an occurrence, made on first use."""
+        """Return the steps of an occurrence, created on first use."""
         steps = self.steps_by_occurrence.get(occurrence)
         if steps is None:
             steps = [
@@ -280,7 +282,7 @@
             yield from steps
 
     def iter_due_steps(self, now_ms: int, unix_ms: int) -> Iterator[StepProgress]:
-        """Yield the steps whose turn has come and that are not done."""
+        """Yield the steps that are ready to run and not done."""
         if self.state.is_final:
             return
         self._open_due(unix_ms)
@@ -296,7 +298,7 @@
                     yield step
 
     def due_unix_ms(self, occurrence: int) -> int:
-        """Return when an occurrence may start; 0 if at once."""
+        """Return when an occurrence may start, or 0 if immediately."""
         schedule = self.job.schedule
         return schedule.due_unix_ms(occurrence) if schedule.times else 0
 
@@ -307,7 +309,7 @@
             self.open_occurrence(occurrence)
 
     def chain_length(self, index: int) -> int:
-        """Return the number of steps in the longest chain that a step begins."""
+        """Return the length in steps of the longest dependency chain from a step."""
         length = 1
         for later in range(index + 1, len(self.job.steps)):
             if index in self.job.steps[later].after:
@@ -315,7 +317,7 @@
         return length
 
     def close_done_occurrences(self) -> None:
-        """Forget the steps of leading occurrences that are done entirely."""
+        """Discard the steps of leading occurrences whose tasks are all done."""
         while self.occurrences_done < self.job.occurrences:
             steps = self.steps_by_occurrence.get(self.occurrences_done)
             if steps is None or not all(step.is_done for step in steps):
@@ -336,12 +338,12 @@
         return True
 
     def record(self) -> JobRecord:
-        """Return the lasting part."""
-        touched = {}
+        """Return the persistent part of the progress."""
+        record_by_name = {}
         for step in self.iter_steps():
             if not (step.done_count or step.failed_runs_by_index or step.runs_by_index):
                 continue
-            touched[f"{step.occurrence}.{step.index}"] = StepRecord(
+            record_by_name[f"{step.occurrence}.{step.index}"] = StepRecord(
                 "".join("1" if p is TaskPhase.DONE else "0" for p in step.phases),
                 {str(i): sorted(r) for i, r in step.failed_runs_by_index.items()},
                 {str(i): text for i, text in step.checkpoint_by_index.items()},
@@ -350,10 +352,12 @@
                     for run in step.iter_runs()
                 ),
             )
-        return JobRecord(self.state, self.ended_unix_ms, touched, self.occurrences_done)
+        return JobRecord(
+            self.state, self.ended_unix_ms, record_by_name, self.occurrences_done
+        )
 
     def restore(self, record: JobRecord) -> list[tuple[StepProgress, PlacedRun]]:
-        """Take over the lasting part that an earlier leader has stored.
+        """Apply the record that an earlier leader stored.
 
         Returns:
             The runs that workers have or may have.
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -1,7 +1,7 @@
-"""Takes over what callers and workers report of jobs of steps and their runs.
+"""Applies events about step jobs and their runs.
 
-Events come in as calls with the time as an argument; see `steptracker` for what goes
-out.
+Events arrive as method calls with the time as an argument; see `steptracker` for the
+resulting actions.
 """
 
 from __future__ import annotations
@@ -26,24 +26,29 @@
     WorkerListing,
 )
 
-# A run that was confirmed this long before a listing was asked for must be in it.
+# A run that was confirmed more than this long before a listing was requested is lost
+# if the listing lacks it.
 VANISHED_MARGIN_MS = 50
 
 
 @attrs.define(eq=False)
 class StepState(StepTracker):
-    """Everything the leader knows of jobs of steps and of the workers."""
+    """The leader's state of step jobs and workers, updated by events."""
 
     def record_start_confirmed(
         self, worker_id: str, task: TaskRef, number: int, now_ms: int
     ) -> None:
-        """Note that a worker has begun a run."""
+        """Record that a worker has started a run."""
         run = self._find_run(worker_id, task, number)
         if run is not None:
-            self._begin(run, now_ms)
+            self._mark_started(run, now_ms)
 
     def start_refused(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
-        """Note that a worker did not begin a run and never will."""
+        """Remove a run that a worker has not started and never will.
+
+        Returns:
+            The removed run, or None if it is unknown or was confirmed before.
+        """
         run = self._find_run(worker_id, task, number)
         if run is None or run.running_since_ms:
             return None
@@ -51,7 +56,7 @@
         return run
 
     def record_start_unknown(self, worker_id: str, task: TaskRef, number: int) -> None:
-        """Note that nobody knows whether a worker begins a run."""
+        """List a worker that may or may not have started a run."""
         run = self._find_run(worker_id, task, number)
         worker = self.worker_by_id.get(worker_id)
         if run is not None and not run.running_since_ms and worker is not None:
@@ -66,12 +71,12 @@
         now_ms: int,
         unix_ms: int,
     ) -> None:
-        """Take over what a worker says of its runs.
+        """Apply a worker's listing of its runs.
 
         Args:
             worker: The worker.
             listing: Its runs and the ends that were not acknowledged.
-            fence: Fence of the call that it answers.
+            fence: Fence of the call that the listing answers.
             asked_ms: When the call was sent.
             now_ms: The time.
             unix_ms: The time of day.
@@ -88,22 +93,22 @@
         for end in listing.ended:
             if end.number > worker.last_end_number:
                 worker.last_end_number = end.number
-                self._ended(worker, end, now_ms, unix_ms)
+                self._apply_end(worker, end, now_ms, unix_ms)
         reported = set()
         for report in listing.running:
             reported.add((report.task, report.run))
             run = worker.run_by_task.get((report.task, report.run))
             if run is not None:
-                self._progressed(run, report, now_ms)
+                self._apply_report(run, report, now_ms)
         if fence == worker.fence and not worker.synced:
-            self._synchronise(worker, listing.running, now_ms)
+            self._reconcile(worker, listing.running, now_ms)
         elif fence == worker.fence:
-            self._drop_vanished(worker, reported, asked_ms)
+            self._mark_vanished_lost(worker, reported, asked_ms)
 
-    def _synchronise(
+    def _reconcile(
         self, worker: WorkerState, running: tuple[RunReport, ...], now_ms: int
     ) -> None:
-        """Settle what a worker runs; orders under lower fences have no effect."""
+        """Reconcile the runs of a worker; orders under lower fences have no effect."""
         worker.synced = True
         present = {(report.task, report.run) for report in running}
         for key, run in list(worker.run_by_task.items()):
@@ -129,7 +134,7 @@
                 )
 
     def _adopt(self, worker: WorkerState, report: RunReport, now_ms: int) -> bool:
-        """Take over a run that an earlier leader has started."""
+        """Adopt a run that an earlier leader started; return whether it was adopted."""
         progress = self.job_by_id.get(report.task.job_id)
         step = progress.step_of(report.task) if progress is not None else None
         if step is None or progress is None or progress.state.is_final:
@@ -148,11 +153,11 @@
             now_ms,
         )
         self._attach(run, worker)
-        self._begin(run, now_ms)
-        self._progressed(run, report, now_ms)
+        self._mark_started(run, now_ms)
+        self._apply_report(run, report, now_ms)
         return True
 
-    def _drop_vanished(
+    def _mark_vanished_lost(
         self, worker: WorkerState, reported: set[tuple[TaskRef, int]], asked_ms: int
     ) -> None:
         for key, run in list(worker.run_by_task.items()):
@@ -162,7 +167,7 @@
             if confirmed_ms + VANISHED_MARGIN_MS < asked_ms:
                 self.mark_run_lost(run)
 
-    def _begin(self, run: Run, now_ms: int) -> None:
+    def _mark_started(self, run: Run, now_ms: int) -> None:
         if run.running_since_ms:
             return
         run.mark_started(now_ms)
@@ -175,15 +180,15 @@
         if progress.state is StepJobState.QUEUED:
             progress.state = progress.visible_state = StepJobState.RUNNING
 
-    def _progressed(self, run: Run, report: RunReport, now_ms: int) -> None:
-        self._begin(run, now_ms)
+    def _apply_report(self, run: Run, report: RunReport, now_ms: int) -> None:
+        self._mark_started(run, now_ms)
         run.record_progress(report.percent, now_ms)
         if report.checkpoint and report.checkpoint != run.checkpoint:
             run.checkpoint, run.checkpointed_ms = report.checkpoint, now_ms
             run.step.record_checkpoint(run.task.index, report.checkpoint)
         run.measurement = report.measurement
 
-    def _ended(
+    def _apply_end(
         self, worker: WorkerState, end: RunEnd, now_ms: int, unix_ms: int
     ) -> None:
         worker.orphan_by_task.pop((end.task, end.run), None)
@@ -194,22 +199,22 @@
             return
         step.record_checkpoint(end.task.index, end.checkpoint)
         if run is not None:
-            self._learn(worker, run, end.ending, now_ms)
+            self._record_result(worker, run, end.ending, now_ms)
             self._detach(run)
         if progress.state.is_final:
             return
         progress.started = True
         if end.ending is RunEndStatus.DONE and not step.step.long_running:
-            self._task_done(step, end.task.index, unix_ms)
+            self._mark_task_done(step, end.task.index, unix_ms)
         elif end.ending is RunEndStatus.FAILED:
             step.avoided_workers_by_index.setdefault(end.task.index, set()).add(
                 worker.worker.worker_id
             )
-            self._task_failed(step, end, unix_ms)
+            self._record_task_failure(step, end, unix_ms)
         elif step.step.checkpoints and end.checkpoint:
-            self._changed[progress.job.job_id] = progress
+            self._changed_job_by_id[progress.job.job_id] = progress
 
-    def _learn(
+    def _record_result(
         self, worker: WorkerState, run: Run, ending: RunEndStatus, now_ms: int
     ) -> None:
         if ending is RunEndStatus.DONE:
@@ -225,27 +230,29 @@
             worker.suspicion.failed(run.task.job_id, now_ms)
 
     def _expected_ms(self, step: StepProgress) -> float:
-        """Return how long a task of a step should take; infinity if nothing tells."""
+        """Return the expected duration of a task, or infinity if none is known."""
         usual_ms = step.usual_duration_ms()
         if usual_ms is None:
             usual_ms = self.durations.average_ms(step.job.queue.name)
         return math.inf if usual_ms is None else usual_ms
 
-    def _task_done(self, step: StepProgress, index: int, unix_ms: int) -> None:
+    def _mark_task_done(self, step: StepProgress, index: int, unix_ms: int) -> None:
         step.mark_done(index)
-        for copy in list(step.runs_by_index.get(index, ())):
-            self.stop_run(copy, "copy_was_done")
+        for other_run in list(step.runs_by_index.get(index, ())):
+            self.stop_run(other_run, "copy_was_done")
         progress = step.job
-        self._changed[progress.job.job_id] = progress
+        self._changed_job_by_id[progress.job.job_id] = progress
         progress.close_done_occurrences()
         if progress.all_done:
             self.finish_job(progress, StepJobState.COMPLETED, unix_ms)
 
-    def _task_failed(self, step: StepProgress, end: RunEnd, unix_ms: int) -> None:
+    def _record_task_failure(
+        self, step: StepProgress, end: RunEnd, unix_ms: int
+    ) -> None:
         step.record_failure(end.task.index, end.run)
         progress = step.job
         if step.step.long_running:
             return
-        self._changed[progress.job.job_id] = progress
+        self._changed_job_by_id[progress.job.job_id] = progress
         if step.failures_of(end.task.index) >= max(progress.queue.attempts, 1):
             self.finish_job(progress, StepJobState.FAILED, unix_ms)
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -1,7 +1,7 @@
-"""Jobs of steps, the workers that run them, and the actions that are due.
+"""Step jobs, the workers that run them, and the pending actions.
 
-Actions go out through `pop_actions`, and the jobs whose lasting part changed through
-`pop_changed_jobs`.
+Callers fetch actions with `pop_actions` and the jobs whose persistent state changed
+with `pop_changed_jobs`.
 """
 
 from __future__ import annotations
@@ -30,23 +30,25 @@
     TaskRef,
 )
 
-# Run numbers and fences of one leadership lie below those of the next.
+# Size of the range of run numbers and of fences in each epoch; the ranges rise with
+# the epoch and don't overlap.
 RUNS_PER_EPOCH = 1_000
 FENCES_PER_EPOCH = 10_000
 
 
 @attrs.define(eq=False)
 class StepTracker:
-    """Jobs, workers, teams and the actions that are due.
+    """Jobs, workers, resource use of teams and pending actions.
 
     Attributes:
-        epoch: Number of this leadership; rises with each takeover.
+        epoch: Number of the current leadership; rises with each takeover.
         config: The configuration in force.
-        evacuated_zones: Zones whose workers are to get nothing.
-        job_by_id: All jobs that are kept.
-        worker_by_id: All workers that are known.
-        usage: What teams have running.
-        durations: How long tasks take, by queue.
+        evacuated_zones: Zones whose workers must not get work.
+        job_by_id: All jobs in memory.
+        open_job_by_id: Jobs that are not final or still have runs.
+        worker_by_id: All known workers.
+        usage: Resources in use by team.
+        durations: Average task durations by queue.
     """
 
     epoch: int
@@ -58,46 +60,47 @@
     usage: TeamUsage = attrs.field(factory=TeamUsage)
     durations: QueueDurations = attrs.field(factory=QueueDurations)
     _actions: list[StepAction] = attrs.field(factory=list)
-    _changed: dict[str, JobProgress] = attrs.field(factory=dict)
+    _changed_job_by_id: dict[str, JobProgress] = attrs.field(factory=dict)
 
     @property
     def first_fence(self) -> int:
-        """The lowest fence of this leadership."""
+        """The lowest fence of the current epoch."""
         return self.epoch * FENCES_PER_EPOCH
 
     def pop_actions(self) -> list[StepAction]:
-        """Return what must be done since the last call."""
+        """Return the actions added since the last call."""
         actions, self._actions = self._actions, []
         return actions
 
     def pop_changed_jobs(self) -> list[JobProgress]:
-        """Return the jobs whose lasting part changed since the last call."""
-        changed, self._changed = list(self._changed.values()), {}
+        """Return the jobs whose persistent state changed since the last call."""
+        changed, self._changed_job_by_id = list(self._changed_job_by_id.values()), {}
         return changed
 
     def add_action(self, action: StepAction) -> None:
-        """Ask for something to be done."""
+        """Queue an action for the next `pop_actions`."""
         self._actions.append(action)
 
     # Jobs
 
     def add_job(self, job: StepJob, queue: Queue, now_ms: int) -> JobProgress:
-        """Take a new job.
+        """Add a new job.
 
-        Its runs are planned at once. They leave once their places are stored, and so
-        after the job itself, whose row is written before.
+        Its runs are planned immediately, but their starts are sent only after their
+        placement is stored. The row of the job is written before that, so no start is
+        sent for a job that is not stored.
         """
         progress = JobProgress(job, queue, now_ms)
         progress.beyond_weight = self.usage.is_beyond_weight(
             self.config.team_by_name.get(job.team), now_ms
         )
-        self._keep(progress)
+        self._register_job(progress)
         return progress
 
     def restore_job(
         self, job: StepJob, queue: Queue, record: JobRecord, now_ms: int, unix_ms: int
     ) -> JobProgress:
-        """Take a job over from an earlier leader.
+        """Restore a job from the record that an earlier leader stored.
 
         The workers of its runs must have been added before.
         """
@@ -110,44 +113,44 @@
                 run = Run(
                     task, placed.run, placed.worker_id, step, RunPhase.STARTING, now_ms
                 )
-                # The listing of the worker tells whether the run is present.
+                # The worker's next listing shows whether the run is present.
                 self._attach(run, worker)
-        self._keep(progress)
+        self._register_job(progress)
         return progress
 
     def remove_job(self, job_id: str) -> None:
-        """Forget a job and the runs that were never sent."""
+        """Remove a job and its runs, whose starts were never sent."""
         progress = self.job_by_id.pop(job_id, None)
         if progress is not None:
             for step in progress.iter_steps():
                 for run in list(step.iter_runs()):
                     self._detach(run)
         self.open_job_by_id.pop(job_id, None)
-        self._changed.pop(job_id, None)
+        self._changed_job_by_id.pop(job_id, None)
 
     def cancel_job(self, progress: JobProgress, unix_ms: int) -> None:
-        """End a job that callers no longer want."""
+        """Cancel a job and stop its runs."""
         self.finish_job(progress, StepJobState.CANCELLED, unix_ms)
 
     def finish_job(
         self, progress: JobProgress, state: StepJobState, unix_ms: int
     ) -> None:
-        """Bring a job to a final state and stop its runs."""
+        """Move a job to a final state and stop its runs."""
         if progress.state.is_final:
             return
         progress.state = state
         progress.ended_unix_ms = unix_ms
-        self._changed[progress.job.job_id] = progress
+        self._changed_job_by_id[progress.job.job_id] = progress
         for step in progress.iter_steps():
             if state is StepJobState.COMPLETED and step.step.gang:
-                # The members of a gang end together; each worker lists its own.
+                # Gang members end together; each worker lists the end of its members.
                 continue
             for run in list(step.iter_runs()):
                 self.stop_run(run, f"job_{state.value}")
-        self._settle_job(progress)
+        self._close_if_finished(progress)
 
     def count_pending(self, queue: str) -> int:
-        """Return how many jobs of a queue have been taken and not started."""
+        """Return how many jobs of a queue have not started, without scheduled jobs."""
         return sum(
             1
             for progress in self.open_job_by_id.values()
@@ -156,12 +159,12 @@
             and not progress.job.schedule.times
         )
 
-    def _keep(self, progress: JobProgress) -> None:
+    def _register_job(self, progress: JobProgress) -> None:
         self.job_by_id[progress.job.job_id] = progress
         if not progress.state.is_final:
             self.open_job_by_id[progress.job.job_id] = progress
 
-    def _settle_job(self, progress: JobProgress) -> None:
+    def _close_if_finished(self, progress: JobProgress) -> None:
         if progress.state.is_final and not any(
             step.runs_by_index for step in progress.iter_steps()
         ):
@@ -170,7 +173,7 @@
     # Workers
 
     def set_workers(self, listed: Iterable[StepWorker]) -> None:
-        """Take over the platform's list of workers."""
+        """Apply the platform's list of workers."""
         listed_by_id = {worker.worker_id: worker for worker in listed}
         for known in self.worker_by_id.values():
             known.listed = known.worker.worker_id in listed_by_id
@@ -184,28 +187,28 @@
                 state.worker = worker
 
     def add_worker(self, worker: StepWorker) -> WorkerState:
-        """Start to use a worker; it gets work once it is listed in sync."""
+        """Add a worker; it gets work after a listing under its current fence."""
         state = WorkerState(worker, fence=self.first_fence)
         self.worker_by_id[worker.worker_id] = state
         self.add_action(SyncWorker(worker.worker_id, state.fence))
         return state
 
     def remove_worker(self, worker_id: str) -> None:
-        """Forget a worker that has left; it must have no runs."""
+        """Remove a worker that has left; it must have no runs."""
         del self.worker_by_id[worker_id]
 
     def request_sync(self, worker: WorkerState) -> None:
-        """Raise the fence of a worker, so that unanswered orders have no effect."""
+        """Raise a worker's fence, so that unanswered orders have no effect."""
         worker.fence += 1
         worker.synced = False
         self.add_action(SyncWorker(worker.worker.worker_id, worker.fence))
 
     def _mark_restarted(self, worker: WorkerState) -> None:
-        """Note that a worker started again.
+        """Handle a restart of a worker.
 
-        It has seen no fence yet, so an order to its earlier life may still come late
-        and take effect. What was placed there is settled by the next listing under a
-        higher fence, as after any other doubt.
+        The new incarnation has seen no fence yet, so an order to the earlier
+        incarnation may still arrive late and take effect. The next listing under a
+        higher fence shows which placed runs exist, as after any unanswered order.
         """
         worker.orphan_by_task.clear()
         worker.last_end_number = 0
@@ -213,7 +216,7 @@
             self.request_sync(worker)
 
     def expire_worker(self, worker: WorkerState) -> None:
-        """Note that all leases on a silent worker have surely run out."""
+        """Mark all runs of an unresponsive worker lost; their leases have expired."""
         for run in list(worker.run_by_task.values()):
             self.mark_run_lost(run)
         worker.orphan_by_task.clear()
@@ -223,16 +226,16 @@
     def place(
         self, step: StepProgress, index: int, worker: WorkerState, run: int, now_ms: int
     ) -> Run:
-        """Order the start of a task."""
+        """Place a task on a worker and order its start."""
         worker_id = worker.worker.worker_id
         task = step.task(index)
         checkpoint = step.checkpoint_of(index)
         ticket = step.tickets.ticket_for(worker_id, worker.worker.born_unix_ms, now_ms)
-        new = Run(task, run, worker_id, step, RunPhase.STARTING, now_ms)
-        self._attach(new, worker)
-        # The store must know the place before the worker does, so that a successor
-        # knows which tasks a worker that it cannot reach may run.
-        self._changed[task.job_id] = step.job
+        new_run = Run(task, run, worker_id, step, RunPhase.STARTING, now_ms)
+        self._attach(new_run, worker)
+        # The placement is stored before the start is sent, so that the next leader
+        # knows which tasks an unreachable worker may be running.
+        self._changed_job_by_id[task.job_id] = step.job
         self.add_action(
             StartRun(
                 worker_id,
@@ -246,17 +249,17 @@
                 ),
             )
         )
-        return new
+        return new_run
 
     def may_send_start(self, run: Run, ticket: str, now_ms: int) -> bool:
-        """Whether a start may be sent now that its place is stored.
+        """Return whether a start may be sent now that its placement is stored.
 
-        Meanwhile the job may have been cancelled, the worker or its zone taken out, and
-        in an outage of the store the ticket has run out.
+        During the write the job may have been cancelled or the worker drained or its
+        zone evacuated. If the store was unavailable, the ticket may have expired.
 
         Args:
-            run: The run that was placed.
-            ticket: The ticket that the order carries, or empty.
+            run: The placed run.
+            ticket: The ticket in the order, or empty.
             now_ms: The time.
         """
         worker = self.worker_by_id[run.worker_id].worker
@@ -280,20 +283,21 @@
         )
 
     def stop_run(self, run: Run, reason: str) -> None:
-        """Order the stop of a run; its room is given back when its end is listed."""
+        """Order the stop of a run; its resources are freed when its end is listed."""
         if run.phase is RunPhase.STOPPING:
             return
         run.phase = RunPhase.STOPPING
         run.stop_reason = reason
-        # A start that is on its way could overtake the stop, so the stop waits
-        # for its answer.
+        # A start in flight could arrive after the stop, so the stop is sent only
+        # after the start is confirmed.
         if run.running_since_ms:
             self.send_stop(run)
 
     def send_stop(self, run: Run) -> None:
-        """Send the stop of a run, once more if its answer was lost.
+        """Send the stop of a run; may be repeated if the answer was lost.
 
-        A worker that does not answer gets its stops when it is listed in sync.
+        A worker that is not synced gets the stop after its next listing under the
+        current fence.
         """
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None and worker.synced:
@@ -304,7 +308,7 @@
             )
 
     def mark_run_lost(self, run: Run) -> None:
-        """Note that a run is gone and told nothing; its task waits again."""
+        """Remove a run that is gone without a reported end; its task waits again."""
         run.step.record_checkpoint(run.task.index, run.checkpoint)
         self._detach(run)
 
@@ -323,7 +327,7 @@
         run.step.remove_run(run)
         if not run.step.runs_by_index:
             run.step.rack_in_use = ""
-        self._settle_job(run.step.job)
+        self._close_if_finished(run.step.job)
 
     def _find_run(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
         worker = self.worker_by_id.get(worker_id)
