--- a/marjoramgrade/decisions/durations.py
+++ b/marjoramgrade/decisions/durations.py
@@ -1,10 +1,11 @@
-"""How long tasks take, learned by queue from those that were done."""
+"""Average task durations by queue, computed from completed tasks."""
 
 from __future__ import annotations
 
 import attrs
 
-# Weight of a new duration in the average: about the last thirty tasks count.
+# Weight of a new duration in the moving average, which covers about the last thirty
+# tasks.
 SMOOTHING_FACTOR = 1 / 30
 
 
@@ -15,7 +16,7 @@
     _average_by_queue: dict[str, float] = attrs.field(factory=dict)
 
     def add(self, queue: str, duration_ms: float) -> None:
-        """Take over the duration of a task that was done."""
+        """Add the duration of a completed task."""
         average = self._average_by_queue.get(queue)
         if average is None:
             self._average_by_queue[queue] = duration_ms
@@ -29,11 +30,11 @@
 
         Args:
             queue: Name of the queue.
-            estimate_ms: The caller's estimate, which is rough; used until the first
-                task of the queue was done.
+            estimate_ms: The caller's rough estimate, used until the first task of the
+                queue is done.
         """
         return self._average_by_queue.get(queue, float(estimate_ms))
 
     def average_ms(self, queue: str) -> float | None:
-        """Return how long tasks of a queue took, None if none was done."""
+        """Return the average duration of a queue's tasks, or None if none is done."""
         return self._average_by_queue.get(queue)
--- a/marjoramgrade/decisions/outcomes.py
+++ b/marjoramgrade/decisions/outcomes.py
@@ -1,4 +1,4 @@
-"""Ends of tasks that are not yet durable, collected by job."""
+"""Final outcomes of tasks that are not yet durable, collected by job."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 @attrs.define
 class JobOutcomes:
-    """What is to be written about one job.
+    """Outcomes of one job that are to be written.
 
     Attributes:
-        outcome_by_index: Final outcomes of tasks.
-        worker_by_task: Where each end may be forgotten once it is written.
+        outcome_by_index: Final outcomes by task index.
+        worker_by_task: Workers that may discard the end of a task once the outcome is
+            written.
     """
 
     outcome_by_index: dict[int, Outcome] = attrs.field(factory=dict)
     worker_by_task: dict[TaskId, str] = attrs.field(factory=dict)
 
     def merge_into(self, job: Job) -> Job:
-        """Return the job with these outcomes and a reason that says so."""
+        """Return the job with these outcomes and, once all are final, a new reason."""
         merged = job.with_outcomes(self.outcome_by_index)
         open_tasks = merged.outcomes.count(Outcome.OPEN.value)
         return attrs.evolve(
@@ -29,20 +30,20 @@
 
 
 class PendingOutcomes:
-    """Final outcomes of a shard's tasks on their way to the table."""
+    """Final outcomes of a shard's tasks that are to be written to the table."""
 
     def __init__(self) -> None:
         self._waiting_by_job: dict[str, JobOutcomes] = {}
-        self._writing: set[str] = set()
+        self._jobs_being_written: set[str] = set()
         self._final_by_task: dict[TaskId, Outcome] = {}
 
     def record(self, task: TaskId, outcome: Outcome, worker_id: str = "") -> bool:
-        """Note the final outcome of a task.
+        """Record the final outcome of a task.
 
         Args:
             task: The task.
             outcome: How it ended.
-            worker_id: Worker that keeps the end until it is acknowledged.
+            worker_id: Worker that stores the end until it is acknowledged, or empty.
 
         Returns:
             Whether this is the first outcome of the task.
@@ -57,38 +58,40 @@
         return True
 
     def is_final(self, task: TaskId) -> bool:
-        """Return whether an outcome of the task is noted and not yet forgotten."""
+        """Return whether an outcome of the task is recorded and not discarded."""
         return task in self._final_by_task
 
     def outcome_of(self, task: TaskId) -> Outcome | None:
-        """Return the outcome that is noted and not yet forgotten, or None."""
+        """Return the recorded outcome, or None if there is none or it was discarded."""
         return self._final_by_task.get(task)
 
     def jobs_to_write(self) -> list[str]:
-        """Return the jobs with outcomes that no write carries yet."""
-        return [job for job in self._waiting_by_job if job not in self._writing]
+        """Return the jobs with waiting outcomes and no write in progress."""
+        return [
+            job for job in self._waiting_by_job if job not in self._jobs_being_written
+        ]
 
     def begin_write(self, job_id: str) -> JobOutcomes:
-        """Take what is to be written about a job; one write at a time."""
-        self._writing.add(job_id)
+        """Remove and return the waiting outcomes of a job; one write at a time."""
+        self._jobs_being_written.add(job_id)
         return self._waiting_by_job.pop(job_id)
 
     def written(self, job_id: str) -> None:
-        """Note that the outcomes that were taken are durable."""
-        self._writing.discard(job_id)
+        """End a write that has succeeded; its outcomes are durable."""
+        self._jobs_being_written.discard(job_id)
 
     def failed(self, job_id: str, outcomes: JobOutcomes) -> None:
-        """Put outcomes back whose write failed or is not known to have worked."""
-        self._writing.discard(job_id)
+        """Put back outcomes whose write failed or has an unknown result."""
+        self._jobs_being_written.discard(job_id)
         waiting = self._waiting_by_job.setdefault(job_id, JobOutcomes())
         waiting.outcome_by_index.update(outcomes.outcome_by_index)
         waiting.worker_by_task.update(outcomes.worker_by_task)
 
     def has_open_writes(self, job_id: str) -> bool:
-        """Return whether something about a job is still to be written."""
-        return job_id in self._writing or job_id in self._waiting_by_job
+        """Return whether outcomes of a job are waiting or being written."""
+        return job_id in self._jobs_being_written or job_id in self._waiting_by_job
 
     def discard_job(self, job: Job) -> None:
-        """Drop what is kept about a job that has ended or moved away."""
+        """Discard the final outcomes of a job that has ended or moved away."""
         for index in range(job.spec.tasks):
             self._final_by_task.pop(TaskId(job.job_id, index), None)
--- a/marjoramgrade/decisions/stepactions.py
+++ b/marjoramgrade/decisions/stepactions.py
@@ -1,4 +1,4 @@
-"""What the scheduler of steps asks others to do."""
+"""Actions that the step scheduler requests."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class PaceRun:
-    """Let a run work at a share of its speed, 0 to 100 percent."""
+    """Limit a run to a share of its full speed, 0 to 100 percent."""
 
     worker_id: str
     fence: int
@@ -48,15 +48,15 @@
 
 @attrs.frozen
 class AskAdvice:
-    """Ask the placement advisor on which of some workers a step may run.
+    """Ask the placement advisor which of the given workers may run a step.
 
     Attributes:
         job_id: The job.
-        occurrence: The occurrence.
+        occurrence: Number of the occurrence.
         step: Index of the step.
-        worker_ids: The workers to judge.
+        worker_ids: The candidate workers.
         instance_id: The instance that makes the call.
-        decide_ms: How long the call is expected to take.
+        decide_ms: Expected duration of the call.
     """
 
     job_id: str
--- a/marjoramgrade/decisions/steprun.py
+++ b/marjoramgrade/decisions/steprun.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from marjoramgrade.decisions.stepprogress import StepProgress
 
-# The speed of a run is measured over at least this long: progress comes in whole
-# percents, and a listing about once a second.
+# Shortest interval over which the speed of a run is measured: progress is reported in
+# whole percents, in a listing about once a second.
 SPEED_WINDOW_MS = 400
 
 
@@ -32,23 +32,23 @@
     Attributes:
         task: The task.
         number: Number of the run.
-        worker_id: Where it runs.
-        step: The step that it belongs to.
-        phase: Its state.
-        ordered_ms: When its start was ordered.
-        running_since_ms: When the worker confirmed the start.
-        percent: Its progress, 0 to 100.
-        progressed_ms: When `percent` last changed.
-        measured_percent: Its progress at the last measurement of its speed.
-        measured_ms: When that was, or when it started.
-        recent_total_ms: How long it would take at the speed last measured, or None.
-        checkpoint: Its newest checkpoint, or empty.
-        checkpointed_ms: When that was first seen, or 0.
+        worker_id: Worker of the run.
+        step: The step that the task belongs to.
+        phase: State of the run.
+        ordered_ms: When the start was ordered.
+        running_since_ms: When the start was confirmed, or 0.
+        percent: Progress, 0 to 100.
+        progressed_ms: When `percent` last changed, or the run was last paced.
+        measured_percent: Progress at the last measurement of the speed.
+        measured_ms: When the speed was last measured, or the run started or was paced.
+        recent_total_ms: Total duration at the speed last measured, or None.
+        checkpoint: Newest checkpoint, or empty.
+        checkpointed_ms: When `checkpoint` was first reported, or 0.
         measurement: See `RunReport.measurement`.
-        share: Percent of its speed that it was paced to.
-        above_target_ms: Since when its latency is above its target; 0 if it is not.
-        idle_since_ms: Since when a long-running task is not at work; 0 if it is.
-        stop_reason: Why it is being stopped, or empty.
+        share: Percentage of full speed that the run is paced to.
+        above_target_ms: Since when the latency exceeds its target, or 0.
+        idle_since_ms: Since when a long-running task does no work, or 0.
+        stop_reason: Why the run is being stopped, or empty.
     """
 
     task: TaskRef
@@ -72,33 +72,34 @@
     stop_reason: str = ""
 
     def mark_started(self, now_ms: int) -> None:
-        """Note that the worker has confirmed the start."""
+        """Record the confirmation of the start."""
         self.running_since_ms = self.progressed_ms = self.measured_ms = now_ms
 
     def record_progress(self, percent: int, now_ms: int) -> None:
-        """Take over what the worker says of the progress."""
+        """Record reported progress and measure the speed."""
         if percent == self.percent:
             return
         self.percent, self.progressed_ms = percent, now_ms
-        done, took_ms = percent - self.measured_percent, now_ms - self.measured_ms
-        if done > 0 and took_ms >= SPEED_WINDOW_MS:
-            self.recent_total_ms = took_ms * 100 / done
+        gained, took_ms = percent - self.measured_percent, now_ms - self.measured_ms
+        if gained > 0 and took_ms >= SPEED_WINDOW_MS:
+            self.recent_total_ms = took_ms * 100 / gained
             self.measured_percent, self.measured_ms = percent, now_ms
 
     def change_share(self, share: int, now_ms: int) -> None:
-        """Note that the run is paced, after which its speed is measured anew."""
+        """Record that the run is paced, and restart the measurement of its speed."""
         self.share = share
         self.progressed_ms = self.measured_ms = now_ms
         self.measured_percent, self.recent_total_ms = self.percent, None
 
     def predicted_total_ms(self) -> float | None:
-        """Return the duration that the progress points to.
+        """Return the total duration predicted from the progress.
 
-        The latest speed counts, because a worker may turn slow midway; work that gets
-        only spare processor time changes its speed all the time.
+        Uses the speed last measured, because a worker may become slow during a run.
+        Best-effort runs use the average since their start instead, because their speed
+        changes constantly with the spare processor time.
 
         Returns:
-            Milliseconds, or None if the progress is too small to tell.
+            Milliseconds, or None if there is too little progress for a prediction.
         """
         if self.recent_total_ms is not None and not self.step.step.uses_spare:
             return self.recent_total_ms
@@ -107,7 +108,7 @@
         return (self.progressed_ms - self.running_since_ms) * 100 / self.percent
 
     def predicted_remaining_ms(self, now_ms: int) -> float | None:
-        """Return how long the run still takes by that, None if unknown."""
+        """Return the predicted remaining duration, or None if unknown."""
         total_ms = self.predicted_total_ms()
         if total_ms is None:
             return None
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -1,4 +1,4 @@
-"""The workers that run tasks of steps: their room, runs and health."""
+"""The workers that run tasks of steps: their capacity, runs and health."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.stepjobs import RunReport, StepWorker, TaskRef
 
-# Failures on different jobs in a row after which a worker is suspect: one task in
-# twenty fails by itself, so three in a row on a good worker are rare.
+# Consecutive failures on different jobs after which a worker is suspect. One task in
+# twenty fails by itself, so three in a row on a healthy worker are rare.
 FAILURES_TO_SUSPECT = 3
-# The same for runs that stand still or are slow.
+# Consecutive stalled or slow runs on different jobs after which a worker is suspect.
 STRAGGLERS_TO_SUSPECT = 2
-# Suspicion lasts this long at first and doubles with each probe that fails.
+# Duration of the first suspicion; it doubles with each failed probe, up to the maximum.
 SUSPICION_MS = 1_500
 MAX_SUSPICION_MS = 12_000
 
 
 @attrs.define
 class WorkerSuspicion:
-    """Whether a worker that answers can be trusted with work.
+    """Whether a responsive worker is healthy enough for more work.
 
     Attributes:
-        failed_jobs: Jobs of which a run failed since the last success.
-        straggling_jobs: Jobs of which a run stood still or was slow since then.
-        suspect_until_ms: No work before this time, or 0.
-        suspicion_ms: How long the next suspicion lasts.
-        probing: Whether a single task tries the worker out.
+        failed_jobs: Jobs with a failed run since the last success.
+        straggling_jobs: Jobs with a stalled or slow run since the last success.
+        suspect_until_ms: The worker gets no work before this time, or 0.
+        suspicion_ms: Duration of the next suspicion.
+        probing: Whether the worker gets only one task at a time, as a probe.
     """
 
     failed_jobs: set[str] = attrs.field(factory=set)
@@ -37,7 +37,7 @@
     probing: bool = False
 
     def record_success(self) -> None:
-        """Note a run that was done."""
+        """Record a completed run, which ends all suspicion."""
         self.failed_jobs.clear()
         self.straggling_jobs.clear()
         self.suspect_until_ms = 0
@@ -45,7 +45,7 @@
         self.probing = False
 
     def failed(self, job_id: str, now_ms: int) -> bool:
-        """Note a run that failed; returns whether the worker became suspect."""
+        """Record a failed run; return whether the worker became suspect."""
         self.failed_jobs.add(job_id)
         if self.probing or len(self.failed_jobs) >= FAILURES_TO_SUSPECT:
             self.mark_suspect(now_ms)
@@ -53,13 +53,13 @@
         return False
 
     def record_straggler(self, job_id: str, now_ms: int) -> None:
-        """Note a run that stood still or was slow."""
+        """Record a stalled or slow run."""
         self.straggling_jobs.add(job_id)
         if self.probing or len(self.straggling_jobs) >= STRAGGLERS_TO_SUSPECT:
             self.mark_suspect(now_ms)
 
     def mark_suspect(self, now_ms: int) -> None:
-        """Give the worker no work for a while, twice as long each time."""
+        """Withhold work from the worker, twice as long each time up to the maximum."""
         if now_ms < self.suspect_until_ms:
             return
         self.suspect_until_ms = now_ms + self.suspicion_ms
@@ -69,7 +69,7 @@
         self.straggling_jobs.clear()
 
     def allows(self, now_ms: int, present_runs: int) -> bool:
-        """Whether another task may start; one at a time while the worker is tried."""
+        """Return whether another task may start; one at a time while probing."""
         if now_ms < self.suspect_until_ms:
             return False
         return not self.probing or present_runs == 0
@@ -81,18 +81,18 @@
 
     Attributes:
         worker: The worker as registered.
-        listed: Whether the platform still lists it.
-        synced: Whether its runs are known and it answers.
-        fence: Fence of the orders to it.
-        suspicion: Whether it can be trusted.
-        run_by_task: The runs that it has or may have.
-        used: What tasks take that count against the capacity.
-        spare_used: What tasks take that use only spare processor time.
-        orphan_by_task: Runs that are present and belong to no task that waits for
-            them; they are being stopped.
-        has_unanswered_call: Whether it left the last listing without an answer.
-        last_end_number: Highest number of an end that was taken over.
-        unresponsive_since_ms: Since when it gives no answer, or 0.
+        listed: Whether the platform still lists the worker.
+        synced: Whether the worker has answered a listing under `fence`.
+        fence: Fence of the orders to the worker.
+        suspicion: Whether the worker is healthy enough for more work.
+        run_by_task: Runs that the worker has or may have, by task and run number.
+        used: Resources of the runs, except best-effort ones.
+        spare_used: Resources of the best-effort runs, which use spare processor time.
+        orphan_by_task: Runs on the worker that belong to no open task and are being
+            stopped, by task and run number.
+        has_unanswered_call: Whether the worker did not answer the last listing.
+        last_end_number: Highest number of an end that was applied.
+        unresponsive_since_ms: Since when the worker does not respond, or 0.
     """
 
     worker: StepWorker
@@ -109,7 +109,7 @@
     unresponsive_since_ms: int = 0
 
     def accepts_work(self, now_ms: int) -> bool:
-        """Whether a start may be sent at all."""
+        """Return whether the worker may get a start, regardless of its capacity."""
         return (
             self.listed
             and self.synced
@@ -121,15 +121,15 @@
 
     @property
     def free_cpu_millis(self) -> int:
-        """Thousandths of a processor that no task has been given."""
+        """Thousandths of a core that are not allocated to any run."""
         capacity = self.worker.capacity.cpu_millis
         return capacity - self.used.cpu_millis - self.spare_used.cpu_millis
 
     def has_capacity(self, need: Resources, *, uses_spare: bool) -> bool:
-        """Whether a task fits beside what the worker has.
+        """Return whether a task fits in addition to the present runs.
 
-        Tasks that use spare processor time count against memory and accelerators,
-        and among themselves against the processors that are left.
+        Best-effort tasks always count against memory and accelerators, but against the
+        processors only among themselves: they share what other tasks leave free.
         """
         capacity = self.worker.capacity
         used, spare = self.used, self.spare_used
@@ -142,16 +142,16 @@
         return used.cpu_millis + need.cpu_millis <= capacity.cpu_millis
 
     def add(self, run: Run) -> None:
-        """Take room for a run."""
+        """Add a run and allocate its resources."""
         self.run_by_task[(run.task, run.number)] = run
-        self._change(run, 1)
+        self._adjust_usage(run, 1)
 
     def remove(self, run: Run) -> None:
-        """Give the room of a run back."""
+        """Remove a run and free its resources."""
         if self.run_by_task.pop((run.task, run.number), None) is not None:
-            self._change(run, -1)
+            self._adjust_usage(run, -1)
 
-    def _change(self, run: Run, sign: int) -> None:
+    def _adjust_usage(self, run: Run, sign: int) -> None:
         step = run.step.step
         amount = step.resources if sign > 0 else ZERO_RESOURCES - step.resources
         if step.uses_spare:
