--- a/tests/steps.py
+++ b/tests/steps.py
@@ -1,4 +1,4 @@
-"""Builders of jobs of steps, workers and states for the tests of decisions."""
+"""Builders of step jobs, workers and scheduler states for the tests of decisions."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 def cores(count: float, memory: int = 100) -> Resources:
-    """Return an amount of processors and memory."""
+    """Return resources of this many cores and this much memory in MiB."""
     return Resources(cpu_millis=int(count * 1_000), memory_mib=memory)
 
 
 def job(job_id: str, *steps: Step, queue: Queue = URGENT, team: str = "red") -> StepJob:
-    """Return a job; by default of one task of one core."""
+    """Return a job, by default with one task of one core."""
     return StepJob(job_id, queue.name, team, "payload", steps or (Step(1, cores(1)),))
 
 
 @attrs.define
 class StepHarness:
-    """A state with its planner and a clock, driven by hand."""
+    """A scheduler state with its planner and a manually advanced clock."""
 
     state: StepState
     planner: Planner
@@ -55,31 +55,31 @@
         epoch: int = 1,
         limit: Resources | None = None,
     ) -> StepHarness:
-        """Return a state whose workers are listed in sync and empty."""
+        """Return a harness whose workers are synced and have no runs."""
         state = StepState(epoch)
         team = TeamPolicy("red", weight=1_000.0, limit=limit or Resources())
         queues = (URGENT, REPORTS, ADVISED)
         state.config = StepConfig(1, {q.name: q for q in queues}, {}, {"red": team})
-        cell = cls(state, Planner(state, AdvisorChannels("own", {"peer": 1})))
+        harness = cls(state, Planner(state, AdvisorChannels("own", {"peer": 1})))
         for worker in workers:
             state.add_worker(worker)
-            cell.report_listing(worker.worker_id)
-        cell.collect_actions()
-        return cell
+            harness.report_listing(worker.worker_id)
+        harness.collect_actions()
+        return harness
 
     def add(self, new: StepJob, queue: Queue = URGENT) -> JobProgress:
-        """Take a job that is stored."""
+        """Add a job and mark it stored."""
         progress = self.state.add_job(new, queue, self.now_ms)
         progress.stored = True
         return progress
 
     def plan(self) -> list[StepAction]:
-        """Plan and return what is to be done."""
+        """Plan and return the new actions."""
         self.planner.plan(self.now_ms, self.now_ms)
         return self.collect_actions()
 
     def collect_actions(self) -> list[StepAction]:
-        """Return what is to be done."""
+        """Return the new actions and add them to `sent`."""
         actions = self.state.pop_actions()
         self.sent.extend(actions)
         return actions
@@ -98,7 +98,7 @@
         born_ms: int = BORN_MS,
         asked_ms: int | None = None,
     ) -> None:
-        """Let a worker answer a call."""
+        """Apply a worker's answer to a listing call."""
         worker = self.worker(worker_id)
         self.state.listed(
             worker,
@@ -110,7 +110,7 @@
         )
 
     def confirm(self, *starts: StartRun) -> None:
-        """Let workers confirm starts."""
+        """Record that workers confirmed starts."""
         for start in starts:
             self.state.record_start_confirmed(
                 start.worker_id, start.order.task, start.order.run, self.now_ms
@@ -119,7 +119,7 @@
     def end(
         self, start: StartRun, number: int, ending: RunEndStatus = RunEndStatus.DONE
     ) -> None:
-        """Let a worker list the end of a run."""
+        """Apply a listing with the end of a run."""
         task, run = start.order.task, start.order.run
         self.report_listing(
             start.worker_id, ended=(RunEnd(number, task, run, ending, ""),)
@@ -155,12 +155,12 @@
 def report(
     start: StartRun, percent: int = 50, checkpoint: str = "", measurement: int = 0
 ) -> RunReport:
-    """Return what a worker says of a run that is present."""
+    """Return a worker's report of a present run."""
     return RunReport(
         start.order.task, start.order.run, checkpoint, percent, measurement
     )
 
 
 def ref(job_id: str, index: int = 0, step: int = 0) -> TaskRef:
-    """Return a task of the first occurrence."""
+    """Return the reference to a task of the first occurrence."""
     return TaskRef(job_id, 0, step, index)
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -1,4 +1,4 @@
-"""Random histories of workers, late orders and takeovers against the decisions."""
+"""Random sequences of worker events, late orders and takeovers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @attrs.define
 class FakeWorker:
-    """A worker that does what the platform's pages say of fences and runs."""
+    """A worker that treats fences and runs as the platform documents them."""
 
     fence: int = 0
     running: dict = attrs.field(factory=dict)
@@ -53,7 +53,7 @@
         return True
 
     def start(self, order, fence, cpu):
-        """Carry a start out; returns whether it began."""
+        """Execute a start; return whether the run is present."""
         if not self.admits(fence):
             return False
         if order.run <= self.highest_run.get(order.task, 0):
@@ -76,7 +76,7 @@
 
 
 class Leaders(RuleBasedStateMachine):
-    """One leader at a time; whatever it stores is there for the next one."""
+    """One leader at a time; each restores what the previous one stored."""
 
     def __init__(self):
         super().__init__()
@@ -93,7 +93,7 @@
 
     @rule()
     def take_over(self):
-        """A new leader reads the store; actions of the old one are lost."""
+        """Start a new leader from the store; actions of the old leader are lost."""
         self.epoch += 1
         config = StepConfig(
             1, {}, {}, {"red": TeamPolicy("red", weight=1e6, limit=LIMIT)}
@@ -106,7 +106,7 @@
         for new, queue in self.jobs.values():
             record = self.records.get(new.job_id, JobRecord())
             self.state.restore_job(new, queue, record, self.now_ms, self.now_ms)
-        self.carry_out()
+        self.execute_actions()
 
     @rule(
         count=st.integers(1, 6),
@@ -129,13 +129,13 @@
     def plan(self):
         self.now_ms += 50
         self.planner.plan(self.now_ms, self.now_ms)
-        self.carry_out()
+        self.execute_actions()
 
     @rule()
     def supervise(self):
         self.now_ms += 200
         self.supervisor.supervise(self.now_ms)
-        self.carry_out()
+        self.execute_actions()
 
     @rule(worker_id=st.sampled_from(WORKER_IDS))
     def list_worker(self, worker_id):
@@ -155,8 +155,8 @@
         for end in fake.ended:
             if end.ending is RunEndStatus.DONE:
                 self.done.add(end.task)
-        self.carry_out()
-        # The store has what changed, so the ends may be forgotten.
+        self.execute_actions()
+        # The changes are stored, so the worker may discard the ends.
         fake.ended.clear()
 
     @precondition(lambda self: any(f.running for f in self.workers.values()))
@@ -187,8 +187,8 @@
 
     lose = False
 
-    def carry_out(self):
-        """Store what changed, then do what the state asks for."""
+    def execute_actions(self):
+        """Store the changed jobs, then execute the actions of the state."""
         actions = self.state.pop_actions()
         for progress in self.state.pop_changed_jobs():
             self.records[progress.job.job_id] = progress.record()
@@ -201,7 +201,7 @@
             elif isinstance(action, SyncWorker):
                 fake.admits(action.fence)
         if self.state._actions:
-            self.carry_out()
+            self.execute_actions()
 
     def start(self, fake, action):
         order = action.order
--- a/tests/test_stepworkers.py
+++ b/tests/test_stepworkers.py
@@ -1,4 +1,4 @@
-"""Room and trust of workers."""
+"""Tests of the capacity and suspicion of workers."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def test_failures_of_one_job_raise_no_suspicion():
-    # Guards against avoiding good workers because of a job that can never run.
+    # Guards against avoiding healthy workers because of a job that always fails.
     suspicion = WorkerSuspicion()
     for _ in range(10):
         assert not suspicion.failed("poison", 1_000)
 
 
 def test_worker_that_fails_everything_gets_one_task_at_a_time():
-    # Guards against a worker that burns the attempts of every job.
+    # Guards against a faulty worker that uses up the attempts of every job.
     suspicion = WorkerSuspicion()
     for index in range(FAILURES_TO_SUSPECT):
         suspicion.failed(f"job-{index}", 1_000)
@@ -31,16 +31,16 @@
     assert suspicion.allows(later_ms, 5)
 
 
-def test_spare_work_leaves_processors_to_other_tasks():
-    # Guards against tasks that wait for work which takes only what is left.
+def test_best_effort_work_leaves_processors_to_other_tasks():
+    # Guards against tasks that wait for processors in use by best-effort work.
     state = WorkerState(worker("w", 4))
     state.spare_used = cores(4)
     assert state.has_capacity(cores(4), uses_spare=False)
     assert not state.has_capacity(cores(1), uses_spare=True)
 
 
-def test_memory_of_spare_work_counts():
-    # Guards against overcommitting memory, which spare work does not give back.
+def test_memory_of_best_effort_work_counts():
+    # Guards against overcommitted memory: best-effort work does not give memory back.
     state = WorkerState(worker("w", 4))
     state.spare_used = Resources(memory_mib=9_950)
     assert not state.has_capacity(cores(1, 100), uses_spare=False)
