--- a/marjoramgrade/decisions/steprun.py
+++ b/marjoramgrade/decisions/steprun.py
@@ -80,9 +80,9 @@
         if percent == self.percent:
             return
         self.percent, self.progressed_ms = percent, now_ms
-        gained, took_ms = percent - self.measured_percent, now_ms - self.measured_ms
-        if gained > 0 and took_ms >= SPEED_WINDOW_MS:
-            self.recent_total_ms = took_ms * 100 / gained
+        done, took_ms = percent - self.measured_percent, now_ms - self.measured_ms
+        if done > 0 and took_ms >= SPEED_WINDOW_MS:
+            self.recent_total_ms = took_ms * 100 / done
             self.measured_percent, self.measured_ms = percent, now_ms
 
     def change_share(self, share: int, now_ms: int) -> None:
