--- a/marjoramgrade/decisions/gangs.py
+++ b/marjoramgrade/decisions/gangs.py
@@ -1,4 +1,4 @@
-"""All-or-nothing placement of gangs, and room kept for a gang that waits."""
+"""All-or-nothing placement of gangs, and reservations for waiting work."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.resources import Resources
 
-# Small tasks keep a busy shard full, so a gang would never find all its room at
-# once. After this time room is kept for it as it becomes free.
+# In a busy shard small tasks use resources as soon as they become free, so those of
+# a whole gang would never be free at once. After this time they are reserved for it.
 GANG_RESERVATION_DELAY_MS = 10_000
 
-# Bounds the cost of a reservation for one task in a large shard.
+# Workers compared for the reservation of a single task; bounds the cost in a large
+# shard.
 RESERVATION_CANDIDATES = 32
 
 
@@ -30,7 +31,7 @@
     Args:
         pool: The workers of the shard; unchanged on return.
         placement: Chooses a worker for one member.
-        resources: What each member needs.
+        resources: Resources that each member needs.
         count: Number of members.
         spread_racks: Whether the members must use different racks.
         avoid_workers: Workers that must not be chosen.
@@ -57,15 +58,15 @@
             pool.release_hold(worker_id, resources)
 
 
-def members_that_fit(resources: Resources, room: Resources) -> int:
-    """Return how many members of a gang a room holds."""
+def members_that_fit(resources: Resources, available: Resources) -> int:
+    """Return how many members of a gang fit into the available resources."""
     pairs = (
-        (resources.cpu_millis, room.cpu_millis),
-        (resources.memory_mib, room.memory_mib),
-        (resources.accelerators, room.accelerators),
-        (resources.slots, room.slots),
+        (resources.cpu_millis, available.cpu_millis),
+        (resources.memory_mib, available.memory_mib),
+        (resources.accelerators, available.accelerators),
+        (resources.slots, available.slots),
     )
-    return max(0, min((has // need for need, has in pairs if need), default=0))
+    return max(0, min((has // needed for needed, has in pairs if needed), default=0))
 
 
 def plan_reservation(
@@ -76,22 +77,22 @@
     service_resources_on: Callable[[str], Resources],
     avoid_workers: frozenset[str] = NONE_AVOIDED,
 ) -> list[str] | None:
-    """Choose workers on which room is kept for a gang until it is free.
+    """Choose workers on which to reserve resources as they become free.
 
-    Workers that lack least for a member come first, because they need the fewest
-    running tasks to end. What services use is not expected to become free. For a
-    single task only the workers with the most room are compared.
+    Workers that lack least for a member come first, because the fewest running tasks
+    have to end there. Resources that services use are not expected to become free.
+    For a single task only the workers with the most available are compared.
 
     Args:
         pool: The workers of the shard.
-        resources: What each member needs.
+        resources: Resources that each member needs.
         count: Number of members.
         spread_racks: Whether the members must use different racks.
-        service_resources_on: Returns what services use on a worker.
+        service_resources_on: Returns the resources that services use on a worker.
         avoid_workers: Workers that must not be chosen.
 
     Returns:
-        One worker id for each member, or None if the room can never become free.
+        One worker id for each member, or None if not all members can ever fit.
     """
     chosen: list[str] = []
     racks: set[str] = set()
@@ -106,11 +107,11 @@
     for node, _ in workers:
         if node.worker_id in avoid_workers or (spread_racks and node.rack in racks):
             continue
-        # The holds of single tasks give way to a gang.
-        kept = pool.available_after_yield if count > 1 else pool.available_of
-        held = pool.free_of(node.worker_id) - kept(node.worker_id)
-        room = node.capacity - service_resources_on(node.worker_id) - held
-        fitting = members_that_fit(resources, room)
+        # A gang may use resources that are held for single tasks.
+        available_on = pool.available_after_yield if count > 1 else pool.available_of
+        held = pool.free_of(node.worker_id) - available_on(node.worker_id)
+        available = node.capacity - service_resources_on(node.worker_id) - held
+        fitting = members_that_fit(resources, available)
         if spread_racks and fitting:
             fitting = 1
             racks.add(node.rack)
--- a/marjoramgrade/decisions/placement.py
+++ b/marjoramgrade/decisions/placement.py
@@ -21,11 +21,11 @@
         avoid_workers: frozenset[str] = NONE_AVOIDED,
         avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
-        """Return the id of a worker with room, or None.
+        """Return the id of a worker with enough available resources, or None.
 
         Args:
             pool: The workers of the shard.
-            request: What the task needs.
+            request: Resources that the task needs.
             avoid_workers: Workers that must not be chosen.
             avoid_racks: Racks whose workers must not be chosen.
         """
@@ -43,7 +43,7 @@
 
 @PLACEMENTS.register("best_fit")
 class BestFit:
-    """Chooses the worker with the least room that suffices, through the index."""
+    """Chooses the fitting worker with the least available, using the index."""
 
     def choose(
         self,
@@ -52,7 +52,7 @@
         avoid_workers: frozenset[str] = NONE_AVOIDED,
         avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
-        """Return the id of a worker with room, or None."""
+        """Return the id of a worker with enough available resources, or None."""
         for node in pool.iter_fitting(request):
             if _is_allowed(node, avoid_workers, avoid_racks):
                 return node.worker_id
@@ -61,7 +61,7 @@
 
 @PLACEMENTS.register("first_fit")
 class FirstFit:
-    """Chooses the first worker with room by a plain scan; the baseline."""
+    """Chooses the first fitting worker by a linear scan; the baseline."""
 
     def choose(
         self,
@@ -70,7 +70,7 @@
         avoid_workers: frozenset[str] = NONE_AVOIDED,
         avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> str | None:
-        """Return the id of a worker with room, or None."""
+        """Return the id of a worker with enough available resources, or None."""
         for node, available in pool.iter_schedulable():
             if request.fits(available) and _is_allowed(
                 node, avoid_workers, avoid_racks
--- a/marjoramgrade/decisions/workers.py
+++ b/marjoramgrade/decisions/workers.py
@@ -1,4 +1,4 @@
-"""Workers of one shard and the resources reserved on them."""
+"""Workers of one shard and the resources allocated and held on them."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class OvercommitError(MarjoramgradeError):
-    """A reservation would exceed the capacity of a worker."""
+    """An allocation would exceed the capacity of a worker."""
 
     code = "overcommit"
 
 
 class UnknownWorkerError(NotFoundError):
-    """The pool has no worker of this id."""
+    """The pool has no worker with this id."""
 
     code = "unknown_worker"
 
 
 @attrs.frozen
 class WorkerNode:
-    """A worker as its shard owner knows it."""
+    """Id, rack and capacity of a worker, as known to the owner of its shard."""
 
     worker_id: str
     rack: str
@@ -33,186 +33,197 @@
 
 
 @attrs.define
-class _Room:
-    """What is used and held on one worker."""
+class _PoolEntry:
+    """A worker with its free and held resources.
+
+    Attributes:
+        node: The worker.
+        free: Capacity that is not allocated.
+        held: Sum of all holds; may exceed `free`.
+        yielding: The part of `held` that urgent work and gangs may use.
+        is_draining: Whether the worker gets no new work.
+        indexed: Available resources stored in the index for this worker, or None
+            if it is not in the index.
+    """
 
     node: WorkerNode
     free: Resources
     held: Resources = ZERO_RESOURCES
     yielding: Resources = ZERO_RESOURCES
     is_draining: bool = False
-    # The amount under which the worker is in the index, or None.
     indexed: Resources | None = None
 
 
 class WorkerPool:
     """Workers with their free resources.
 
-    An amount that is held is kept for work that waits, such as a gang. It counts
-    as used for every choice of a worker, but is not reserved: it may exceed what
-    is free until running tasks end.
+    A hold withholds resources for waiting work, such as a gang. Placement treats
+    held resources as used, but they are not allocated: a hold may exceed the free
+    resources until running tasks end.
     """
 
     def __init__(self) -> None:
-        self._room_by_id: dict[str, _Room] = {}
+        self._entry_by_id: dict[str, _PoolEntry] = {}
         self._index = FreeIndex()
         self._total = ZERO_RESOURCES
 
     def __len__(self) -> int:
-        return len(self._room_by_id)
+        return len(self._entry_by_id)
 
     def __contains__(self, worker_id: str) -> bool:
-        return worker_id in self._room_by_id
+        return worker_id in self._entry_by_id
 
     @property
     def total_capacity(self) -> Resources:
-        """The capacity of all workers, draining ones included."""
+        """The capacity of all workers, including draining ones."""
         return self._total
 
     def add(self, node: WorkerNode) -> None:
-        """Add a worker, or replace one of the same id that has no reservation.
+        """Add a worker, or replace the known worker with the same id.
+
+        The allocations and holds of a known worker stay.
 
         Raises:
-            OvercommitError: If the known worker has reservations that exceed the
-                new capacity.
+            OvercommitError: If the allocations of the known worker exceed the new
+                capacity.
         """
-        known = self._room_by_id.get(node.worker_id)
+        known = self._entry_by_id.get(node.worker_id)
         used = known.node.capacity - known.free if known else ZERO_RESOURCES
         if not used.fits(node.capacity):
             raise OvercommitError(
-                f"{node.worker_id} has more reserved than its new capacity"
+                f"{node.worker_id} has more allocated than its new capacity"
             )
-        room = _Room(node, node.capacity - used)
+        entry = _PoolEntry(node, node.capacity - used)
         if known:
-            room.held, room.yielding = known.held, known.yielding
+            entry.held, entry.yielding = known.held, known.yielding
             self._drop(known)
-        self._room_by_id[node.worker_id] = room
+        self._entry_by_id[node.worker_id] = entry
         self._total = self._total + node.capacity
-        self._refresh(room)
+        self._refresh(entry)
 
     def remove(self, worker_id: str) -> None:
-        """Remove a worker with all its reservations."""
+        """Remove a worker with all its allocations and holds."""
         self._drop(self._get(worker_id))
 
     def drain(self, worker_id: str) -> None:
-        """Let a worker take no new work; its reservations stay."""
-        room = self._get(worker_id)
-        room.is_draining = True
-        self._refresh(room)
+        """Place no new work on a worker; its allocations stay."""
+        entry = self._get(worker_id)
+        entry.is_draining = True
+        self._refresh(entry)
 
     def allocate(self, worker_id: str, amount: Resources) -> None:
-        """Reserve an amount on a worker.
+        """Allocate an amount on a worker.
 
         Raises:
             OvercommitError: If the amount is not free.
         """
-        room = self._get(worker_id)
-        if not amount.fits(room.free):
+        entry = self._get(worker_id)
+        if not amount.fits(entry.free):
             raise OvercommitError(
-                f"{amount} is not free on {worker_id}", free=str(room.free)
+                f"{amount} is not free on {worker_id}", free=str(entry.free)
             )
-        room.free = room.free - amount
-        self._refresh(room)
+        entry.free = entry.free - amount
+        self._refresh(entry)
 
     def release(self, worker_id: str, amount: Resources) -> None:
-        """Give back a reserved amount.
+        """Free an allocated amount.
 
         Raises:
-            OvercommitError: If more would be free than the worker has.
+            OvercommitError: If the free resources would exceed the capacity.
         """
-        room = self._get(worker_id)
-        free = room.free + amount
-        if not free.fits(room.node.capacity):
-            raise OvercommitError(f"{amount} was not reserved on {worker_id}")
-        room.free = free
-        self._refresh(room)
+        entry = self._get(worker_id)
+        free = entry.free + amount
+        if not free.fits(entry.node.capacity):
+            raise OvercommitError(f"{amount} was not allocated on {worker_id}")
+        entry.free = free
+        self._refresh(entry)
 
     def hold(
         self, worker_id: str, amount: Resources, *, is_yielding: bool = False
     ) -> None:
-        """Keep an amount from being chosen, whether or not it is free yet.
+        """Withhold an amount from placement, whether or not it is free yet.
 
         Args:
             worker_id: The worker.
-            amount: What is kept.
-            is_yielding: Whether the hold gives way to urgent work and gangs.
+            amount: The resources to withhold.
+            is_yielding: Whether urgent work and gangs may use the held resources.
         """
-        room = self._get(worker_id)
-        room.held = room.held + amount
+        entry = self._get(worker_id)
+        entry.held = entry.held + amount
         if is_yielding:
-            room.yielding = room.yielding + amount
-        self._refresh(room)
+            entry.yielding = entry.yielding + amount
+        self._refresh(entry)
 
     def release_hold(
         self, worker_id: str, amount: Resources, *, is_yielding: bool = False
     ) -> None:
-        """End a hold; a worker that has gone is ignored."""
-        room = self._room_by_id.get(worker_id)
-        if room is None:
+        """End a hold; does nothing if the worker was removed."""
+        entry = self._entry_by_id.get(worker_id)
+        if entry is None:
             return
-        room.held = room.held - amount
+        entry.held = entry.held - amount
         if is_yielding:
-            room.yielding = room.yielding - amount
-        self._refresh(room)
+            entry.yielding = entry.yielding - amount
+        self._refresh(entry)
 
     def node_of(self, worker_id: str) -> WorkerNode:
         """Return a worker."""
         return self._get(worker_id).node
 
     def free_of(self, worker_id: str) -> Resources:
-        """Return what is not reserved on a worker."""
+        """Return the resources that are not allocated on a worker."""
         return self._get(worker_id).free
 
     def available_of(self, worker_id: str) -> Resources:
-        """Return what is neither reserved nor held; amounts may be negative."""
-        room = self._get(worker_id)
-        return room.free - room.held
+        """Return the free resources less the held ones; may be negative."""
+        entry = self._get(worker_id)
+        return entry.free - entry.held
 
     def available_after_yield(self, worker_id: str) -> Resources:
-        """Return what is available once the holds that give way have ended."""
-        room = self._get(worker_id)
-        return room.free - room.held + room.yielding
+        """Return what would be available without the yielding holds."""
+        entry = self._get(worker_id)
+        return entry.free - entry.held + entry.yielding
 
     def is_schedulable(self, worker_id: str) -> bool:
-        """Return whether a worker is known and takes new work."""
-        room = self._room_by_id.get(worker_id)
-        return room is not None and not room.is_draining
+        """Return whether a worker is known and not draining."""
+        entry = self._entry_by_id.get(worker_id)
+        return entry is not None and not entry.is_draining
 
     def iter_schedulable(self) -> Iterator[tuple[WorkerNode, Resources]]:
-        """Yield workers that take new work and what is available on them."""
-        for room in self._room_by_id.values():
-            if not room.is_draining:
-                yield room.node, room.free - room.held
+        """Yield schedulable workers and their available resources."""
+        for entry in self._entry_by_id.values():
+            if not entry.is_draining:
+                yield entry.node, entry.free - entry.held
 
     def iter_most_available(self) -> Iterator[tuple[WorkerNode, Resources]]:
-        """Yield open workers and what is available, the most room first."""
+        """Yield schedulable workers and their available resources, most first."""
         for worker_id in self._index.iter_most_available():
-            room = self._room_by_id[worker_id]
-            yield room.node, room.free - room.held
+            entry = self._entry_by_id[worker_id]
+            yield entry.node, entry.free - entry.held
 
     def iter_fitting(self, request: Resources) -> Iterator[WorkerNode]:
-        """Yield open workers that have room, the one with the least room first."""
+        """Yield schedulable workers that fit a request, least available first."""
         for worker_id in self._index.iter_fitting(request):
-            yield self._room_by_id[worker_id].node
+            yield self._entry_by_id[worker_id].node
 
-    def _get(self, worker_id: str) -> _Room:
+    def _get(self, worker_id: str) -> _PoolEntry:
         try:
-            return self._room_by_id[worker_id]
+            return self._entry_by_id[worker_id]
         except KeyError:
             raise UnknownWorkerError(f"no worker is named {worker_id!r}") from None
 
-    def _drop(self, room: _Room) -> None:
-        if room.indexed is not None:
-            self._index.discard(room.node.worker_id, room.indexed)
-        del self._room_by_id[room.node.worker_id]
-        self._total = self._total - room.node.capacity
-
-    def _refresh(self, room: _Room) -> None:
-        """Bring the index up to date with the room of one worker."""
-        worker_id = room.node.worker_id
-        if room.indexed is not None:
-            self._index.discard(worker_id, room.indexed)
-            room.indexed = None
-        if not room.is_draining:
-            room.indexed = room.free - room.held
-            self._index.add(worker_id, room.indexed)
+    def _drop(self, entry: _PoolEntry) -> None:
+        if entry.indexed is not None:
+            self._index.discard(entry.node.worker_id, entry.indexed)
+        del self._entry_by_id[entry.node.worker_id]
+        self._total = self._total - entry.node.capacity
+
+    def _refresh(self, entry: _PoolEntry) -> None:
+        """Update the index after a change to one worker."""
+        worker_id = entry.node.worker_id
+        if entry.indexed is not None:
+            self._index.discard(worker_id, entry.indexed)
+            entry.indexed = None
+        if not entry.is_draining:
+            entry.indexed = entry.free - entry.held
+            self._index.add(worker_id, entry.indexed)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -14,7 +14,7 @@
 
 
 def test_a_gang_is_placed_whole_or_not_at_all() -> None:
-    """Guards against members that wait for others while they use room."""
+    """Guards against members that use resources while they wait for others."""
     pool = pool_of(*WORKERS)
     assert place_gang(pool, BEST_FIT, amount(4), 4, False) is None
     chosen = place_gang(pool, BEST_FIT, amount(2), 6, False)
@@ -24,7 +24,7 @@
 
 
 def test_spread_members_use_different_racks() -> None:
-    """Guards against a gang that dies with one rack."""
+    """Guards against a gang that fails as a whole when one rack fails."""
     pool = pool_of(*WORKERS)
     assert place_gang(pool, BEST_FIT, amount(1), 3, True) is None
     chosen = place_gang(pool, BEST_FIT, amount(1), 2, True)
@@ -33,7 +33,7 @@
 
 
 def test_a_reservation_counts_on_batch_work_to_end_but_not_on_services() -> None:
-    """Guards against room kept where it never becomes free."""
+    """Guards against a reservation on a worker whose resources never become free."""
     pool = pool_of(*WORKERS)
     for index in range(3):
         pool.allocate(f"w-{index}", amount(3))
@@ -45,14 +45,14 @@
     assert plan_reservation(pool, amount(4), 4, False, lambda _: ZERO_RESOURCES) is None
 
 
-def test_a_gang_that_waited_gets_its_room_despite_small_tasks() -> None:
-    """Guards against a gang that small tasks starve."""
+def test_a_waiting_gang_gets_its_resources_despite_small_tasks() -> None:
+    """Guards against small tasks that starve a gang."""
     scheduler = scheduler_of(node("w-0", cores=2), node("w-1", cores=2))
     running: list[tuple[int, str]] = []
     for index in range(600):
         scheduler.submit(queued("small", index), 0)
     scheduler.submit(queued("gang", members=(0, 1, 2, 3)), 0)
-    # Two ends fall in each step, never four, so that all room is never free at once.
+    # Two tasks end in each step, never four, so the gang never finds all it needs free.
     for now_ms in range(0, 3 * GANG_RESERVATION_DELAY_MS, 100):
         for _, name in running[:2]:
             scheduler.task_ended(TaskId.parse(name), EndStatus.DONE, now_ms)
@@ -66,8 +66,8 @@
     raise AssertionError("the gang was not started")
 
 
-def test_a_lost_member_brings_the_whole_gang_back() -> None:
-    """Guards against half a gang that goes on, and against a lost member."""
+def test_a_lost_member_restarts_the_whole_gang() -> None:
+    """Guards against a gang that goes on in part, and a member that never restarts."""
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=2))
     scheduler.submit(queued("gang", members=(0, 1, 2)), 0)
     placed = started(scheduler.step(0, 10))
@@ -83,8 +83,8 @@
     assert set(again) == {str(lost[0]), str(others[0])}
 
 
-def test_a_cancelled_gang_does_not_come_back_when_its_members_end() -> None:
-    """Guards against a cancelled gang that a lost member had requeued."""
+def test_a_cancelled_gang_does_not_restart_when_its_members_end() -> None:
+    """Guards against a lost member that requeues its cancelled gang."""
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=1))
     scheduler.submit(queued("gang", members=(0, 1)), 0)
     placed = started(scheduler.step(0, 10))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,8 +8,8 @@
 from tests.scheduling import amount, node, pool_of
 
 
-def test_best_fit_leaves_the_large_room_alone() -> None:
-    """Guards against fragmentation by small tasks."""
+def test_best_fit_chooses_the_fitting_worker_with_the_least_available() -> None:
+    """Guards against small tasks that fragment the capacity of large workers."""
     pool = pool_of(node("w-0", cores=8), node("w-1", cores=2), node("w-2", cores=4))
     assert PLACEMENTS.get("best_fit")().choose(pool, amount(2)) == "w-1"
     assert PLACEMENTS.get("first_fit")().choose(pool, amount(2)) == "w-0"
@@ -27,7 +27,7 @@
 
 
 def test_work_without_accelerators_avoids_workers_that_have_some() -> None:
-    """Guards against accelerators that idle because their processors are taken."""
+    """Guards against accelerators that idle as other work uses the worker's cores."""
     pool = pool_of(node("w-0", cores=8))
     pool.add(node("w-1", cores=4))
     accelerated = node("w-2", cores=2)
@@ -36,10 +36,10 @@
 
 
 def test_the_index_agrees_with_a_scan_under_random_changes() -> None:
-    """Guards against an index that misses a worker with room, or lists a gone one."""
+    """Guards against an index that omits a fitting worker or lists a removed one."""
     randomness = random.Random(7)
 
-    def draw() -> Resources:
+    def random_amount() -> Resources:
         return amount(randomness.randrange(9), randomness.randrange(9))
 
     index, amount_by_id = FreeIndex(), {}
@@ -48,10 +48,10 @@
         if worker_id in amount_by_id:
             index.discard(worker_id, amount_by_id.pop(worker_id))
         else:
-            amount_by_id[worker_id] = draw()
+            amount_by_id[worker_id] = random_amount()
             index.add(worker_id, amount_by_id[worker_id])
         if step % 10 == 0:
-            request = draw()
+            request = random_amount()
             expected = {k for k, free in amount_by_id.items() if request.fits(free)}
             found = list(index.iter_fitting(request))
             assert len(found) == len(set(found))
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -5,7 +5,7 @@
 
 
 def test_a_reservation_above_the_capacity_is_refused_and_changes_nothing() -> None:
-    """Guards against an overcommitted worker."""
+    """Guards against overcommitted workers."""
     pool = pool_of(node("w-0", cores=4))
     pool.allocate("w-0", amount(3))
     with pytest.raises(OvercommitError):
@@ -14,7 +14,7 @@
 
 
 def test_a_release_above_the_reservation_is_refused() -> None:
-    """Guards against room that a double release makes up."""
+    """Guards against a double release that adds capacity that does not exist."""
     pool = pool_of(node("w-0"))
     pool.allocate("w-0", amount(1))
     pool.release("w-0", amount(1))
@@ -33,8 +33,8 @@
     assert pool.total_capacity == amount(4, 8)
 
 
-def test_a_hold_hides_room_that_is_free_or_becomes_free() -> None:
-    """Guards against small tasks that take the room kept for a gang."""
+def test_held_resources_are_not_available_now_or_when_they_become_free() -> None:
+    """Guards against small tasks that use resources held for a gang."""
     pool = pool_of(node("w-0"))
     pool.allocate("w-0", amount(3))
     pool.hold("w-0", amount(3))
