--- a/marjoramgrade/decisions/gang_runs.py
+++ b/marjoramgrade/decisions/gang_runs.py
@@ -1,4 +1,4 @@
-"""Gangs that have started: if one member is lost, all start again."""
+"""Running gangs: if one member is lost, all members restart."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 @attrs.define
 class GangRun:
-    """The members of one started gang.
+    """The state of one gang that was started.
 
     Attributes:
         running: Number of members that have not ended.
-        members_to_restart: Members that ended without a result and must start again.
-        has_failed: Whether a member failed by itself, which counts an attempt.
+        members_to_restart: Indexes of members that ended without a result and
+            must restart.
+        has_failed: Whether a member failed on its own, which counts as an attempt.
     """
 
     running: int = 0
@@ -25,12 +26,13 @@
 
 @attrs.frozen
 class MemberEnd:
-    """What follows from the end of one member.
+    """The consequences of the end of one member.
 
     Attributes:
         must_stop_others: Whether the other members must be stopped now.
-        entry: Once the last member has ended, those that must start again.
-        has_failed: Whether a member failed by itself.
+        entry: Queue entry of the members that must restart, or None before the last
+            member has ended and if none must restart.
+        has_failed: Whether `entry` is set and a member failed on its own.
     """
 
     must_stop_others: bool = False
@@ -39,40 +41,40 @@
 
 
 class GangRuns:
-    """The started gangs of one shard, by job."""
+    """The running gangs of one shard by job."""
 
     def __init__(self) -> None:
         self._run_by_job: dict[str, GangRun] = {}
 
     def record_start(self, running: RunningTask) -> None:
-        """Count a member that starts."""
+        """Count a member as running."""
         run = self._run_by_job.setdefault(running.task.job_id, GangRun())
         run.running += 1
 
     def record_adoption(self, running: RunningTask, queued: tuple[int, ...]) -> None:
-        """Take note of a counted member that was found running.
+        """Record that a member that was already counted is still running.
 
         Args:
             running: The member.
-            queued: Members of the gang that were queued until now.
+            queued: Indexes of the members that were queued until now.
         """
         run = self._run_by_job[running.task.job_id]
         run.members_to_restart.update(queued)
         run.members_to_restart.discard(running.task.index)
 
     def is_awaiting_restart(self, task: TaskId) -> bool:
-        """Return whether a task starts again once its gang has ended."""
+        """Return whether a task restarts when its whole gang has ended."""
         run = self._run_by_job.get(task.job_id)
         return run is not None and task.index in run.members_to_restart
 
     def cancel(self, task: TaskId) -> None:
-        """Let a member that waits for the end of its gang not start again."""
+        """Cancel the restart of a member."""
         run = self._run_by_job.get(task.job_id)
         if run is not None:
             run.members_to_restart.discard(task.index)
 
     def cancel_job(self, job_id: str) -> int:
-        """Let no member of a gang start again; returns how many waited."""
+        """Cancel the restarts of all members; returns how many there were."""
         run = self._run_by_job.get(job_id)
         if run is None:
             return 0
@@ -83,12 +85,12 @@
     def record_end(
         self, running: RunningTask, must_restart: bool, has_failed: bool
     ) -> MemberEnd:
-        """Count a member that has ended.
+        """Count a member as ended.
 
         Args:
             running: The member.
-            must_restart: Whether it must start again.
-            has_failed: Whether it failed by itself.
+            must_restart: Whether the member must restart.
+            has_failed: Whether the member failed on its own.
         """
         run = self._run_by_job[running.task.job_id]
         if must_restart:
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -1,4 +1,4 @@
-"""Which running tasks make room for urgent work."""
+"""The choice of running tasks to preempt for urgent work."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from marjoramgrade.registry import Registry
 from marjoramgrade.resources import Resources
 
-# Stopping one member of a gang stops the whole gang, and a service has callers,
-# so both come after batch work.
+# Batch work comes first, because stopping one member of a gang stops the whole gang
+# and stopping a service affects its callers.
 VICTIM_ORDER = (JobKind.BATCH, JobKind.GANG, JobKind.SERVICE)
 
 
 @attrs.frozen
 class Eviction:
-    """Tasks on one worker whose end makes room for a request."""
+    """Tasks on one worker whose end frees enough resources for a request."""
 
     worker_id: str
     victims: tuple[RunningTask, ...]
 
 
 class Preemption(Protocol):
-    """Chooses the tasks that make room."""
+    """Chooses the tasks to preempt."""
 
     def choose(
         self,
@@ -41,13 +41,13 @@
         avoid_workers: frozenset[str] = NONE_AVOIDED,
         avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> Eviction | None:
-        """Return tasks of one worker that make room together, or None.
+        """Return tasks of one worker that together free enough, or None.
 
         Args:
             running: The running tasks of the shard.
-            shares: What each team uses.
+            shares: Resource usage of each team.
             pool: The workers of the shard.
-            request: What the urgent task needs.
+            request: Resources that the urgent task needs.
             avoid_workers: Workers that must not be chosen.
             avoid_racks: Racks whose workers must not be chosen.
         """
@@ -76,10 +76,10 @@
 
 @PREEMPTIONS.register("above_share")
 class AboveShare:
-    """Takes from the teams furthest above their share, newest tasks first.
+    """Preempts tasks of the teams furthest above their share, newest first.
 
-    Tasks are collected in this order until those of one worker make enough room;
-    of these, the ones that are not needed are spared again.
+    Tasks are collected in this order, by kind of job first, until those of one worker
+    free enough resources; the tasks among them that are not needed are dropped.
     """
 
     def choose(
@@ -91,25 +91,25 @@
         avoid_workers: frozenset[str] = NONE_AVOIDED,
         avoid_racks: frozenset[str] = NONE_AVOIDED,
     ) -> Eviction | None:
-        """Return the cheapest tasks of one worker that make room, or None."""
+        """Return the first tasks in this order that suffice on a worker, or None."""
         victims_by_worker: dict[str, list[RunningTask]] = {}
-        room_by_worker: dict[str, Resources] = {}
+        available_by_worker: dict[str, Resources] = {}
         for task in _iter_victims(running, shares):
             worker_id = task.worker_id
             if worker_id in avoid_workers or not pool.is_schedulable(worker_id):
                 continue
             if pool.node_of(worker_id).rack in avoid_racks:
                 continue
-            room = room_by_worker.get(worker_id)
-            if room is None:
-                room = pool.available_after_yield(
+            available = available_by_worker.get(worker_id)
+            if available is None:
+                available = pool.available_after_yield(
                     worker_id
                 ) + running.stopping_resources_on(worker_id)
-            room = room_by_worker[worker_id] = room + task.resources
+            available = available_by_worker[worker_id] = available + task.resources
             victims = victims_by_worker.setdefault(worker_id, [])
             victims.append(task)
-            if request.fits(room):
-                return Eviction(worker_id, _needed(victims, room, request))
+            if request.fits(available):
+                return Eviction(worker_id, _needed_victims(victims, available, request))
         return None
 
 
@@ -122,17 +122,18 @@
             yield from running.iter_newest(team, kind, Priority.NORMAL)
 
 
-def _needed(
-    victims: list[RunningTask], room: Resources, request: Resources
+def _needed_victims(
+    victims: list[RunningTask], available: Resources, request: Resources
 ) -> tuple[RunningTask, ...]:
     """Return the victims without those that the request does not need.
 
-    The last resort is spared first, as it was added last.
+    Victims are checked in reverse order, so that the task that should be preempted
+    last is dropped first.
     """
     needed = list(victims)
     for victim in reversed(victims):
-        without = room - victim.resources
+        without = available - victim.resources
         if request.fits(without):
             needed.remove(victim)
-            room = without
+            available = without
     return tuple(needed)
--- a/marjoramgrade/decisions/reservations.py
+++ b/marjoramgrade/decisions/reservations.py
@@ -1,4 +1,8 @@
-"""Room that is kept on workers for work that waits."""
+"""Resources reserved on workers for waiting work.
+
+A reservation of work that preempts nothing is yielding: urgent work and gangs may
+use its resources.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
 
 @attrs.frozen(eq=False)
 class Reservation:
-    """An entry and the workers on which its room is kept.
+    """A queue entry and the workers on which its resources are reserved.
 
     Attributes:
-        entry: What waits; it is no longer in the queue.
+        entry: The waiting work; it is no longer in the queue.
         worker_ids: One worker for each member.
-        reason: Why it waits, for operators.
+        reason: Why the work waits, shown to operators.
     """
 
     entry: QueuedTask
@@ -27,7 +31,7 @@
     reason: str
 
     def is_ready(self, pool: WorkerPool) -> bool:
-        """Return whether the room is free on every worker."""
+        """Return whether the resources are free on every worker."""
         return all(
             self.entry.resources.scaled(members, 1).fits(pool.free_of(worker_id))
             for worker_id, members in Counter(self.worker_ids).items()
@@ -35,25 +39,25 @@
 
 
 class Reservations:
-    """The claims of one shard, oldest first.
+    """The reservations of one shard, oldest first.
 
     Args:
-        pool: The workers on which room is held.
+        pool: The workers on which resources are held.
     """
 
     def __init__(self, pool: WorkerPool) -> None:
         self._pool = pool
         self._reservation_by_task: dict[TaskId, Reservation] = {}
-        # Claims of work that preempts nothing; asked for each head that does not fit.
+        # Stored apart, since they are read for each queue head that does not fit.
         self._yielding_by_task: dict[TaskId, Reservation] = {}
         self._yielding_count_by_team: Counter[str] = Counter()
-        self._yielding_gangs = 0
+        self._yielding_gang_count = 0
 
     def __iter__(self) -> Iterator[Reservation]:
         return iter(list(self._reservation_by_task.values()))
 
     def add(self, reservation: Reservation) -> None:
-        """Keep room for a claim."""
+        """Add a reservation and hold its resources."""
         self._reservation_by_task[reservation.entry.task] = reservation
         if not reservation.entry.is_urgent:
             self._yielding_by_task[reservation.entry.task] = reservation
@@ -66,7 +70,7 @@
             )
 
     def remove(self, reservation: Reservation) -> None:
-        """Keep no more room for a claim."""
+        """Remove a reservation and end its holds."""
         del self._reservation_by_task[reservation.entry.task]
         if not reservation.entry.is_urgent:
             del self._yielding_by_task[reservation.entry.task]
@@ -79,7 +83,7 @@
             )
 
     def find(self, task: TaskId) -> Reservation | None:
-        """Return the claim that a task belongs to, or None."""
+        """Return the reservation that includes a task, or None."""
         reservation = self._reservation_by_task.get(task)
         if reservation is not None:
             return reservation
@@ -89,7 +93,7 @@
         return None
 
     def of_job(self, job_id: str) -> list[Reservation]:
-        """Return the claims of a job."""
+        """Return the reservations of a job."""
         return [
             reservation
             for reservation in self
@@ -97,28 +101,28 @@
         ]
 
     def of_worker(self, worker_id: str) -> list[Reservation]:
-        """Return the claims that keep room on a worker."""
+        """Return the reservations on a worker."""
         return [
             reservation for reservation in self if worker_id in reservation.worker_ids
         ]
 
     def list_yielding(self) -> list[Reservation]:
-        """Return the claims of work that preempts nothing."""
+        """Return the yielding reservations."""
         return list(self._yielding_by_task.values())
 
     def yielding_count(self) -> int:
-        """Return the number of claims of work that preempts nothing."""
+        """Return the number of yielding reservations."""
         return len(self._yielding_by_task)
 
     def yielding_count_of(self, team: str) -> int:
-        """Return how many of these claims a team has."""
+        """Return the number of yielding reservations of a team."""
         return self._yielding_count_by_team[team]
 
     def has_yielding_gang(self) -> bool:
-        """Return whether one of these claims is of a gang."""
-        return self._yielding_gangs > 0
+        """Return whether a gang has a yielding reservation."""
+        return self._yielding_gang_count > 0
 
-    def _count(self, reservation: Reservation, change: int) -> None:
-        self._yielding_count_by_team[reservation.entry.team] += change
+    def _count(self, reservation: Reservation, delta: int) -> None:
+        self._yielding_count_by_team[reservation.entry.team] += delta
         if reservation.entry.gang_size > 1:
-            self._yielding_gangs += change
+            self._yielding_gang_count += delta
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -11,7 +11,7 @@
 
 
 def fill(scheduler: Scheduler, *entries: object) -> None:
-    """Start entries one after the other, so that each is newer than the last."""
+    """Start the entries one by one, each newer than the one before."""
     for number, entry in enumerate(entries):
         scheduler.submit(entry, number)
         scheduler.step(number, 10)
@@ -23,8 +23,8 @@
     return stopped(scheduler.step(100 + URGENT_PREEMPTION_DELAY_MS, 10))
 
 
-def test_the_newest_task_of_the_team_furthest_above_its_share_is_taken() -> None:
-    """Guards against victims of a team that is below its share."""
+def test_the_newest_task_of_the_team_furthest_above_its_share_is_preempted() -> None:
+    """Guards against preempting tasks of a team that is below its share."""
     scheduler = scheduler_of(node("w-0", cores=4))
     fill(
         scheduler,
@@ -36,8 +36,8 @@
     assert victims_of(scheduler, team="c") == {"a/2": "checkpoint"}
 
 
-def test_all_room_is_made_on_one_worker_and_no_task_is_stopped_in_vain() -> None:
-    """Guards against stops spread over workers, which free no room for one task."""
+def test_all_victims_are_on_one_worker_and_no_task_is_stopped_needlessly() -> None:
+    """Guards against victims on several workers, which free too little on each."""
     scheduler = scheduler_of(node("w-0", cores=3), node("w-1", cores=2))
     fill(scheduler, *(queued("a", index, "a") for index in range(5)))
     worker_by_task = {
@@ -49,8 +49,8 @@
     assert len({worker_by_task[name] for name in victims}) == 1
 
 
-def test_services_come_last_and_urgent_tasks_are_never_taken() -> None:
-    """Guards against a stopped service while batch work runs, and against loops."""
+def test_services_are_preempted_last_and_urgent_tasks_never() -> None:
+    """Guards against stopping a service before batch work, and preemption loops."""
     scheduler = scheduler_of(node("w-0", cores=3))
     fill(
         scheduler,
@@ -63,8 +63,8 @@
     assert scheduler.step(2 * URGENT_PREEMPTION_DELAY_MS, 10) == []
 
 
-def test_nobody_else_takes_the_room_and_the_victim_loses_no_attempt() -> None:
-    """Guards against small tasks in the freed room and a charged preemption."""
+def test_freed_resources_stay_reserved_and_the_victim_loses_no_attempt() -> None:
+    """Guards against small tasks on freed resources, and an attempt charged."""
     scheduler = scheduler_of(node("w-0", cores=2))
     fill(scheduler, *(queued("a", index, "a") for index in range(9)))
     assert len(victims_of(scheduler, team="c", cores=2)) == 2
@@ -82,18 +82,18 @@
 
 
 def test_a_slow_checkpoint_is_followed_by_a_stop_within_the_bound() -> None:
-    """Guards against urgent work that waits for a checkpoint without end."""
+    """Guards against urgent work that waits indefinitely for a checkpoint."""
     scheduler = scheduler_of(node("w-0", cores=1))
     fill(scheduler, queued("a", 0, "a"))
     victims_of(scheduler, team="c")
     stop_ms = 100 + URGENT_PREEMPTION_DELAY_MS + CHECKPOINT_TIMEOUT_MS
     assert stopped(scheduler.step(stop_ms, 10)) == {"a/0": "stop"}
-    # What remains of 6.1 s is for the worker's stop and the ticks.
+    # At least 1 s of the bound of 6.1 s is left for the worker's stop and the ticks.
     assert stop_ms - 100 <= 6_100 - 1_000
 
 
-def test_urgent_work_takes_reserved_room_and_the_reservation_is_not_lost() -> None:
-    """Guards against urgent work that waits behind room kept for other work."""
+def test_urgent_work_uses_reserved_resources_and_the_reservation_is_not_lost() -> None:
+    """Guards against urgent work that waits for resources reserved for other work."""
     scheduler = scheduler_of(node("w-0", cores=3))
     fill(scheduler, *(queued("a", index, "a") for index in range(4)))
     scheduler.submit(queued("b", 0, "b", cores=3), 10)
@@ -106,7 +106,7 @@
 
 
 def test_urgent_work_starts_elsewhere_while_its_victims_write_checkpoints() -> None:
-    """Guards against urgent work that is tied to the slowest checkpoint."""
+    """Guards against urgent work that waits for a checkpoint when a worker is free."""
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=1))
     fill(scheduler, queued("a", 0, "a"), queued("a", 1, "a"))
     (victim,) = victims_of(scheduler, team="c")
@@ -116,14 +116,14 @@
 
 
 def test_without_preemption_urgent_work_waits() -> None:
-    """Guards against a baseline that preempts."""
+    """Guards against a baseline policy that preempts."""
     scheduler = scheduler_of(node("w-0", cores=1), preemption="none")
     fill(scheduler, queued("a", 0, "a"))
     assert victims_of(scheduler, team="c") == {}
 
 
-def test_an_urgent_gang_makes_room_for_all_members_or_stops_nothing() -> None:
-    """Guards against stops for a gang that can not start."""
+def test_an_urgent_gang_preempts_for_all_members_or_stops_nothing() -> None:
+    """Guards against stopping tasks for a gang that cannot start."""
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=1))
     fill(scheduler, queued("a", 0, "a"), queued("a", 1, "a"))
     assert victims_of(scheduler, team="c", members=(0, 1, 2)) == {}
@@ -132,8 +132,8 @@
     assert len(stopped(scheduler.step(2 * URGENT_PREEMPTION_DELAY_MS, 10))) == 2
 
 
-def test_urgent_work_whose_worker_goes_away_is_not_lost() -> None:
-    """Guards against a claim that vanishes with its worker."""
+def test_urgent_work_whose_worker_is_lost_is_placed_again() -> None:
+    """Guards against urgent work that is lost with the worker of its reservation."""
     scheduler = scheduler_of(node("w-0", cores=1))
     fill(scheduler, queued("a", 0, "a"))
     victims_of(scheduler, team="c")
