--- a/marjoramgrade/decisions/excess.py
+++ b/marjoramgrade/decisions/excess.py
@@ -1,4 +1,4 @@
-"""Which tasks of a team to stop when its upper limit was lowered."""
+"""The choice of tasks to stop when the upper limit of a team was lowered."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     """Return the newest tasks of a team that free an amount, services last.
 
     Args:
-        running: The running tasks; those that are stopping already are left out.
-        team: The team.
-        excess: By how much the team is above its limit.
+        running: The running tasks; tasks that are already stopping are not chosen.
+        team: Name of the team.
+        excess: Resources that the team uses above its limit.
     """
     chosen: list[TaskId] = []
     for kind, priority in itertools.product(STOP_ORDER, Priority):
--- a/marjoramgrade/decisions/health.py
+++ b/marjoramgrade/decisions/health.py
@@ -1,4 +1,4 @@
-"""Which workers get no work because they fail what they start."""
+"""Detection of workers that get no work because their tasks keep failing."""
 
 from __future__ import annotations
 
@@ -6,19 +6,26 @@
 
 import attrs
 
-# Failures that count before a worker is suspected. Below the ten that the target
-# allows, and above what a flaky job produces on a sound worker by chance.
+# Counted failures after which a worker is suspected. Below the ten that the target
+# allows, and above what a flaky job causes on a healthy worker by chance.
 SUSPECT_AFTER_FAILURES = 5
 BACKOFF_BASE_MS = 10_000
 BACKOFF_MAX_MS = 1_800_000
-# A job that failed on this many workers and succeeded on none is itself at fault.
+# A job that failed on this many workers and succeeded on none is faulty itself.
 FAULTY_JOB_WORKERS = 3
 MAX_TRACKED_JOBS = 4_096
 
 
 @attrs.define
 class _WorkerState:
-    """Consecutive failures of one worker since its last success."""
+    """Failures of one worker since its last success.
+
+    Attributes:
+        failures: Ids of the jobs whose tasks failed, oldest first.
+        backoff_ms: Length of the current back-off; 0 if the worker is not suspected.
+        retry_at_ms: Time when the back-off ends and a probe may start.
+        is_probing: Whether a task runs as the probe.
+    """
 
     failures: list[str] = attrs.field(factory=list)
     backoff_ms: int = 0
@@ -28,7 +35,12 @@
 
 @attrs.define
 class _JobState:
-    """Where a job failed, and whether it succeeded anywhere."""
+    """Results of the tasks of one job.
+
+    Attributes:
+        failed_on: Ids of the workers where a task failed.
+        has_succeeded: Whether a task succeeded on any worker.
+    """
 
     failed_on: set[str] = attrs.field(factory=set)
     has_succeeded: bool = False
@@ -41,9 +53,9 @@
 class WorkerHealth:
     """Backs off from workers whose failures are not explained by the jobs.
 
-    A failure counts fully if its job has succeeded elsewhere, once for each job
-    whose quality is unknown, and not at all if the job failed on several workers
-    and succeeded on none.
+    Each failure of a job that has succeeded on some worker counts. Failures of a job
+    that has not succeeded yet count once together, and not at all if the job failed
+    on `FAULTY_JOB_WORKERS` or more workers.
     """
 
     def __init__(self) -> None:
@@ -54,19 +66,19 @@
         self._next_retry_ms = 0
 
     def avoided(self, now_ms: int) -> frozenset[str]:
-        """Return the workers that must get no work now."""
+        """Return the ids of the workers that must get no work now."""
         if self._suspects and now_ms >= self._next_retry_ms:
             self._refresh(now_ms)
         return self._avoided
 
     def record_start(self, worker_id: str, now_ms: int) -> None:
-        """Take note of a start; on a suspected worker it is the probe."""
+        """Record a start; on a suspected worker the task is the probe."""
         if worker_id in self._suspects:
             self._state_by_worker[worker_id].is_probing = True
             self._refresh(now_ms)
 
     def record_success(self, worker_id: str, job_id: str, now_ms: int) -> None:
-        """Take note of a task that ended well; the worker is trusted again."""
+        """Record a task that succeeded; the worker is no longer suspected."""
         self._job(job_id).has_succeeded = True
         self._state_by_worker.pop(worker_id, None)
         if worker_id in self._suspects:
@@ -74,7 +86,7 @@
             self._refresh(now_ms)
 
     def record_failure(self, worker_id: str, job_id: str, now_ms: int) -> None:
-        """Take note of a task that failed or could not start."""
+        """Record a task that failed or could not start."""
         self._job(job_id).failed_on.add(worker_id)
         state = self._state_by_worker.setdefault(worker_id, _WorkerState())
         if worker_id in self._suspects:
@@ -89,13 +101,13 @@
             self._refresh(now_ms)
 
     def record_inconclusive_end(self, worker_id: str, now_ms: int) -> None:
-        """Take note of an end that says nothing, such as a cancelled probe."""
+        """Record an end without a result, such as that of a cancelled probe."""
         if worker_id in self._suspects:
             self._state_by_worker[worker_id].is_probing = False
             self._refresh(now_ms)
 
     def remove_worker(self, worker_id: str) -> None:
-        """Drop what is known about a worker that has gone."""
+        """Discard the state of a worker that was removed."""
         self._state_by_worker.pop(worker_id, None)
         self._suspects.discard(worker_id)
         self._avoided -= {worker_id}
@@ -108,7 +120,7 @@
         return state
 
     def _weight_of(self, state: _WorkerState) -> int:
-        """Return how many failures of a worker its jobs do not explain."""
+        """Return the number of failures that count against the worker."""
         weight = 0
         counted: set[str] = set()
         for job_id in state.failures[-4 * SUSPECT_AFTER_FAILURES :]:
@@ -127,7 +139,7 @@
         state.is_probing = False
 
     def _refresh(self, now_ms: int) -> None:
-        """Work out the avoided workers and when that changes by itself."""
+        """Recompute the avoided workers and when the next back-off ends."""
         states = {name: self._state_by_worker[name] for name in self._suspects}
         self._avoided = frozenset(
             name
--- a/marjoramgrade/decisions/shares.py
+++ b/marjoramgrade/decisions/shares.py
@@ -21,37 +21,43 @@
 ) -> dict[str, float]:
     """Return the dominant share that each team is entitled to.
 
-    All teams grow together in proportion to their weights. A team stops at its
-    demand, or when a resource that it needs is used up (progressive filling).
+    All shares grow together in proportion to the weights. The share of a team stops
+    growing at its demand, or when a resource that it needs is used up (progressive
+    filling).
 
     Args:
         total: The capacity.
-        weight_by_team: Weights; a team that is not named weighs 1.
-        demand_by_team: What each team would use if it were alone.
+        weight_by_team: Weights; a team that is not listed has weight 1.
+        demand_by_team: Resources that each team would use on its own.
     """
-    wanted = {t: d.dominant_share(total) for t, d in demand_by_team.items()}
-    # Lists, not sets: the order of a sum must not vary between processes.
+    wanted = {
+        name: demand.dominant_share(total) for name, demand in demand_by_team.items()
+    }
+    # Lists, not sets: the order of summation must not vary between processes.
     active = [team for team, share in wanted.items() if share > 0]
     weights = {team: weight_by_team.get(team, 1) for team in active}
-    # For each resource, the fraction of it that goes with a unit of dominant share.
+    # For each resource, the fraction used per unit of dominant share.
     slopes = {
         team: _fractions(demand_by_team[team], total, wanted[team]) for team in active
     }
     shares = dict.fromkeys(demand_by_team, 0.0)
-    left = [1.0] * len(RESOURCE_FIELDS)
+    remaining = [1.0] * len(RESOURCE_FIELDS)
     while active:
         rates = [
             sum(weights[team] * slopes[team][i] for team in active)
             for i in range(len(RESOURCE_FIELDS))
         ]
         growth = min(
-            *(max(0.0, left[i]) / rate for i, rate in enumerate(rates) if rate),
+            *(max(0.0, remaining[i]) / rate for i, rate in enumerate(rates) if rate),
             *((wanted[team] - shares[team]) / weights[team] for team in active),
         )
         for team in active:
             shares[team] += weights[team] * growth
-        left = [room - rate * growth for room, rate in zip(left, rates, strict=True)]
-        used_up = [i for i, room in enumerate(left) if room < 1e-9]
+        remaining = [
+            fraction - rate * growth
+            for fraction, rate in zip(remaining, rates, strict=True)
+        ]
+        used_up = [i for i, fraction in enumerate(remaining) if fraction < 1e-9]
         active = [
             team
             for team in active
@@ -63,51 +69,52 @@
 
 def _fractions(demand: Resources, total: Resources, dominant: float) -> list[float]:
     pairs = ((getattr(demand, name), getattr(total, name)) for name in RESOURCE_FIELDS)
-    return [need / whole / dominant if whole else 0.0 for need, whole in pairs]
+    return [need / capacity / dominant if capacity else 0.0 for need, capacity in pairs]
 
 
 class TeamShares:
-    """What each team uses in one shard, as a weighted dominant share."""
+    """Resource usage and weighted dominant share of each team in one shard."""
 
     def __init__(self) -> None:
         self._total = ZERO_RESOURCES
         self._weight_by_team: dict[str, int] = {}
-        self._use_by_team: dict[str, Resources] = {}
-        # Kept with each change of use, so that a choice compares plain numbers.
+        self._usage_by_team: dict[str, Resources] = {}
+        # Weighted dominant shares, updated on each change of usage, so that choosing a
+        # team compares plain numbers.
         self._level_by_team: dict[str, float] = {}
 
     def set_total(self, total: Resources) -> None:
-        """Set the capacity of which shares are fractions."""
+        """Set the total capacity, of which shares are fractions."""
         self._total = total
-        for team in self._use_by_team:
+        for team in self._usage_by_team:
             self._update_level(team)
 
     def set_weights(self, weight_by_team: Mapping[str, int]) -> None:
-        """Set the weights; a team that is not named weighs 1."""
+        """Set the weights; a team that is not listed has weight 1."""
         self._weight_by_team = dict(weight_by_team)
-        for team in self._use_by_team:
+        for team in self._usage_by_team:
             self._update_level(team)
 
     def charge(self, team: str, amount: Resources) -> None:
-        """Count an amount as used."""
-        self._use_by_team[team] = self.usage_of(team) + amount
+        """Add an amount to the usage of a team."""
+        self._usage_by_team[team] = self.usage_of(team) + amount
         self._update_level(team)
 
     def refund(self, team: str, amount: Resources) -> None:
-        """Count an amount as no longer used."""
-        self._use_by_team[team] = self.usage_of(team) - amount
+        """Subtract an amount from the usage of a team."""
+        self._usage_by_team[team] = self.usage_of(team) - amount
         self._update_level(team)
 
     def usage_of(self, team: str) -> Resources:
-        """Return what a team uses."""
-        return self._use_by_team.get(team, ZERO_RESOURCES)
+        """Return the resources that a team uses."""
+        return self._usage_by_team.get(team, ZERO_RESOURCES)
 
     def weighted_share_of(self, team: str) -> float:
         """Return the dominant share of a team divided by its weight."""
         return self._level_by_team.get(team, 0.0)
 
     def mean_weighted_share(self, teams: Iterable[str]) -> float:
-        """Return the level at which some teams would have equal weighted shares."""
+        """Return the weighted share of the teams if it were equal for all of them."""
         share = weight = 0.0
         for team in teams:
             team_weight = self._weight_by_team.get(team, 1)
@@ -116,7 +123,7 @@
         return share / weight if weight else 0.0
 
     def excess_of(self, team: str, level: float) -> float:
-        """Return the dominant share that a team has above a level."""
+        """Return the dominant share of a team above a weighted share, `level`."""
         weight = self._weight_by_team.get(team, 1)
         return weight * (self.weighted_share_of(team) - level)
 
@@ -132,13 +139,13 @@
     def distance_by_team(
         self, demand_by_team: Mapping[str, Resources]
     ) -> dict[str, float]:
-        """Return how far each team is from its share, as a part of the capacity.
+        """Return how far each team is from its share, as a fraction of the capacity.
 
         Args:
-            demand_by_team: What each team uses and waits for.
+            demand_by_team: Resources that each team uses and waits for.
 
         Returns:
-            For each team, positive above its share and negative below it.
+            The distance by team, positive above the share and negative below it.
         """
         fair = fair_shares(self._total, self._weight_by_team, demand_by_team)
         return {
@@ -148,5 +155,5 @@
 
     def _update_level(self, team: str) -> None:
         weight = self._weight_by_team.get(team, 1)
-        share = self._use_by_team[team].dominant_share(self._total)
+        share = self._usage_by_team[team].dominant_share(self._total)
         self._level_by_team[team] = share / weight
--- a/tests/test_excess.py
+++ b/tests/test_excess.py
@@ -14,17 +14,17 @@
 
 
 def test_a_lowered_limit_stops_the_newest_batch_tasks_first() -> None:
-    """Guards against a service that is stopped while batch work goes on."""
-    book = RunningTasks()
+    """Guards against stopping a service before batch work."""
+    running = RunningTasks()
     for job_id, kind, started_ms in (
         ("old", JobKind.BATCH, 1),
         ("watch", JobKind.SERVICE, 2),
         ("new", JobKind.BATCH, 3),
     ):
-        book.add(_running(job_id, kind, started_ms))
+        running.add(_running(job_id, kind, started_ms))
     amount = Resources(cpu_millis=1500)
-    assert choose_excess_tasks(book, "acme", amount) == [
+    assert choose_excess_tasks(running, "acme", amount) == [
         TaskId("new", 0),
         TaskId("old", 0),
     ]
-    assert choose_excess_tasks(book, "acme", Resources()) == []
+    assert choose_excess_tasks(running, "acme", Resources()) == []
