--- a/marjoramgrade/decisions/admission.py
+++ b/marjoramgrade/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Refusal of work that could never run, with the reason."""
+"""Admission checks that refuse jobs that could never run, with the reason."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from marjoramgrade.model import JobKind, JobSpec, Team
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
-# The outcomes of a job are one row of the table, with one character for each task.
+# The outcomes of a job are stored in one row, with one character for each task.
 MAX_TASKS = 100_000
 MAX_ATTEMPTS = 100
 
@@ -22,17 +22,18 @@
 ) -> None:
     """Refuse a job that could never run.
 
-    If no worker is known at all, as after a start, no shape is a reason to refuse.
+    While no worker is known, such as after a start, no job is refused for its size.
 
     Args:
         spec: The job.
         team: Its team.
-        workers_by_shard: The workers of the cell, whether in use or not.
+        workers_by_shard: All workers of the cell, whether or not they are in use.
 
     Raises:
         InvalidInputError: If a number is out of range.
-        OverLimitError: If the team's limit is below what starts together.
-        UnsatisfiableError: If no worker could hold a task, or no shard a gang.
+        OverLimitError: If the tasks that must start together exceed the team's limit.
+        UnsatisfiableError: If a task fits no empty worker, a gang fits no empty shard,
+            or the tasks exceed the queue bound of the team.
     """
     _check_numbers(spec)
     _check_team(spec, team)
@@ -41,7 +42,8 @@
     workers = [node for nodes in workers_by_shard.values() for node in nodes]
     if not any(spec.resources.fits(node.capacity) for node in workers):
         raise UnsatisfiableError(
-            f"no worker of the cell could hold a task of {_text(spec.resources)}",
+            "no worker of the cell has the capacity for a task of "
+            f"{_format_resources(spec.resources)}",
             reason="task_too_large",
         )
     if spec.kind is JobKind.GANG:
@@ -63,33 +65,33 @@
         raise InvalidInputError("run_ms must not be negative", reason="bad_run_time")
     if not ZERO_RESOURCES.fits(spec.resources) or spec.resources == ZERO_RESOURCES:
         raise InvalidInputError(
-            "resources must not be negative, and one must be positive",
+            "resources must not be negative, and at least one must be positive",
             reason="bad_resources",
         )
 
 
 def _check_team(spec: JobSpec, team: Team) -> None:
-    """Check what starts together against the limit, and the count against the bound."""
-    together = spec.tasks if spec.kind is JobKind.GANG else 1
-    need = spec.resources.scaled(together, 1)
+    """Check a job against the limit and the queue bound of its team."""
+    concurrent_tasks = spec.tasks if spec.kind is JobKind.GANG else 1
+    needed = spec.resources.scaled(concurrent_tasks, 1)
     limit = team.limit
     # A zero amount means no limit on that resource.
     is_within = (
-        need.cpu_millis <= (limit.cpu_millis or need.cpu_millis)
-        and need.memory_mib <= (limit.memory_mib or need.memory_mib)
-        and need.accelerators <= (limit.accelerators or need.accelerators)
-        and need.slots <= (limit.slots or need.slots)
+        needed.cpu_millis <= (limit.cpu_millis or needed.cpu_millis)
+        and needed.memory_mib <= (limit.memory_mib or needed.memory_mib)
+        and needed.accelerators <= (limit.accelerators or needed.accelerators)
+        and needed.slots <= (limit.slots or needed.slots)
     )
     if not is_within:
         raise OverLimitError(
-            f"{_text(need)} must start together, but team {team.name} is limited to "
-            f"{_text(limit)}",
+            f"{_format_resources(needed)} must start together, but team {team.name} "
+            f"is limited to {_format_resources(limit)}",
             reason="above_team_limit",
         )
     if spec.tasks > team.queue_bound:
         raise UnsatisfiableError(
-            f"{spec.tasks} tasks would wait, but at most {team.queue_bound} tasks of "
-            f"team {team.name} may wait in a shard",
+            f"the job has {spec.tasks} tasks, but at most {team.queue_bound} tasks of "
+            f"team {team.name} may be queued in a shard",
             reason="above_queue_bound",
         )
 
@@ -97,25 +99,25 @@
 def _check_gang(
     spec: JobSpec, workers_by_shard: Mapping[str, Sequence[WorkerNode]]
 ) -> None:
-    best = max(_gang_room(spec, nodes) for nodes in workers_by_shard.values())
-    if best < spec.tasks:
-        where = "different racks of one shard" if spec.spread_racks else "one shard"
+    capacity = max(_gang_capacity(spec, nodes) for nodes in workers_by_shard.values())
+    if capacity < spec.tasks:
+        scope = "different racks of one shard" if spec.spread_racks else "one shard"
         raise UnsatisfiableError(
-            f"the gang has {spec.tasks} members, but {where} could hold at most "
-            f"{best} when empty",
+            f"the gang has {spec.tasks} members, but {scope} could hold at most "
+            f"{capacity} when empty",
             reason="gang_too_large",
         )
 
 
-def _gang_room(spec: JobSpec, nodes: Sequence[WorkerNode]) -> int:
-    """Return how many members an empty shard holds."""
+def _gang_capacity(spec: JobSpec, nodes: Sequence[WorkerNode]) -> int:
+    """Return how many members of the gang fit into an empty shard."""
     if spec.spread_racks:
         return len({n.rack for n in nodes if spec.resources.fits(n.capacity)})
     return sum(members_that_fit(spec.resources, node.capacity) for node in nodes)
 
 
-def _text(amount: Resources) -> str:
-    """Return an amount for people."""
+def _format_resources(amount: Resources) -> str:
+    """Return an amount as text for error messages."""
     parts = [f"{amount.cpu_millis / 1000:g} cores", f"{amount.memory_mib} MiB"]
     if amount.accelerators:
         parts.append(f"{amount.accelerators} accelerators")
--- a/marjoramgrade/decisions/requestqueue.py
+++ b/marjoramgrade/decisions/requestqueue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot of one service, fair between teams."""
+"""Queue of requests that wait for a slot of one service, fair between teams."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestQueue(Generic[T]):
-    """First in, first out within a team; the team that uses least goes first."""
+    """First in, first out within a team; the team with the lowest usage comes first."""
 
     def __init__(self) -> None:
         self._waiting_by_team: dict[str, deque[T]] = {}
@@ -31,7 +31,7 @@
 
         Args:
             may_run: Returns whether a team may use another slot.
-            weighted_usage_of: Returns what a team uses in relation to its share.
+            weighted_usage_of: Returns the usage of a team divided by its share.
 
         Returns:
             The request, or None if no team with waiting requests may run one.
@@ -41,33 +41,33 @@
                 return self._pop_first(team)
         return None
 
-    def pop_if(self, is_over: Callable[[T], bool]) -> list[T]:
+    def pop_if(self, must_remove: Callable[[T], bool]) -> list[T]:
         """Remove and return every request for which a condition holds."""
         removed = []
         for team, queue in list(self._waiting_by_team.items()):
-            kept: deque[T] = deque()
+            remaining: deque[T] = deque()
             for item in queue:
-                if is_over(item):
+                if must_remove(item):
                     removed.append(item)
                 else:
-                    kept.append(item)
-            self._replace(team, kept)
+                    remaining.append(item)
+            self._set_queue(team, remaining)
         self._length -= len(removed)
         return removed
 
     def iter_items(self) -> Iterator[T]:
-        """Yield every request."""
+        """Yield all queued requests, team by team."""
         for queue in self._waiting_by_team.values():
             yield from queue
 
     def _pop_first(self, team: str) -> T:
         queue = self._waiting_by_team[team]
         item = queue.popleft()
-        self._replace(team, queue)
+        self._set_queue(team, queue)
         self._length -= 1
         return item
 
-    def _replace(self, team: str, queue: deque[T]) -> None:
+    def _set_queue(self, team: str, queue: deque[T]) -> None:
         if queue:
             self._waiting_by_team[team] = queue
         else:
--- a/marjoramgrade/decisions/slots.py
+++ b/marjoramgrade/decisions/slots.py
@@ -1,6 +1,6 @@
 """Slots in use on the backend servers of one shard.
 
-A server is selected as the less loaded of two random ones: Mitzenmacher, "The
+Selection takes the less loaded of two random servers: Mitzenmacher, "The
 power of two choices in randomized load balancing", TPDS 2001; Sparrow (SOSP
 2013) applies the same idea to the placement of tasks.
 """
@@ -14,9 +14,10 @@
 FIRST_BACKOFF_MS = 250
 MAX_BACKOFF_MS = 8_000
 FAILED_ANSWERS_ALLOWED = 3
-# A request on a broken connection may still reach the server this much later.
+# A request on a broken connection may still reach the server up to this much later.
 LATE_ARRIVAL_MS = 1_000
-# Probes with no lower count before a server is emptied to get an exact one.
+# Probes without a lower count after which a server gets no requests until its count
+# is exact.
 RECOUNT_AFTER_PROBES = 5
 
 
@@ -27,19 +28,24 @@
     Attributes:
         backend_id: Instance id of the server.
         service: The service that it runs.
-        capacity: Requests that it takes at once: the smaller of its slots and
-            its connections, since each request uses one of both.
+        capacity: Requests that it accepts at once: the smaller of its slots and
+            its connections, since each request uses one of each.
         in_flight: Requests of this owner that wait for an answer.
-        untracked: Upper bound on slots held by requests of earlier owners and by
-            requests that this owner gave up on.
-        is_counted: Whether the server gave its count under the current epoch
-            after it was added or failed.
-        late_arrival_until_ms: A count asked for before this time is ignored, since it
-            may lack a request that was given up on the way to the server.
-        failures: Failed connections in a row.
+        untracked: Upper bound on slots used by requests of earlier owners and by
+            requests that this owner abandoned.
+        is_counted: Whether the server has reported its slots in use under the
+            current epoch since it was added or failed.
+        is_leaving: Whether the server is leaving and gets no new requests.
+        is_removed: Whether the server was removed; its record stays until its
+            requests have ended.
+        is_recounting: Whether the server gets no new requests until those in flight
+            have ended, so that its count is exact.
+        late_arrival_until_ms: A count requested before this time is ignored, since
+            it may lack an abandoned request that has not reached the server yet.
+        failures: Consecutive failures since the last answer; sets the back-off.
         failed_ms: Time of the last failure.
-        failed_answers: Requests in a row that the server ran and failed.
-        probe_ms: A failed server is probed again from this time.
+        probe_ms: Time from which a failed server is probed again.
+        failed_answers: Consecutive requests that the server ran and failed.
     """
 
     backend_id: str
@@ -60,22 +66,22 @@
 
     @property
     def in_use(self) -> int:
-        """Slots that may be in use."""
+        """Upper bound on the slots in use."""
         return self.in_flight + self.untracked
 
     @property
     def is_selectable(self) -> bool:
         """Whether the server may get a request when it has a free slot."""
-        barred = self.is_leaving or self.is_removed or self.is_recounting
-        return self.is_counted and not barred
+        is_excluded = self.is_leaving or self.is_removed or self.is_recounting
+        return self.is_counted and not is_excluded
 
     @property
     def free(self) -> int:
-        """Slots that a request may take now."""
+        """Slots that are available for requests now."""
         return max(0, self.capacity - self.in_use) if self.is_selectable else 0
 
     def needs_probe(self, now_ms: int) -> bool:
-        """Return whether the server should be asked for its count."""
+        """Return whether the server should be asked for its slots in use."""
         if self.is_removed:
             return False
         if not self.is_counted:
@@ -83,10 +89,11 @@
         return self.untracked > 0
 
     def apply_count(self, in_use: int, asked_ms: int) -> None:
-        """Take over a count that the server gave under the current epoch.
+        """Apply a count that the server reported under the current epoch.
 
         The count may or may not include requests in `in_flight`, so all of it may be
-        foreign. Foreign requests do not grow in number behind the fence.
+        untracked requests. Their number cannot grow, since the server rejects requests
+        of earlier epochs.
         """
         if asked_ms < self.late_arrival_until_ms:
             return
@@ -98,11 +105,11 @@
             self._stale_probes = 0
         else:
             self._stale_probes += 1
-        self._choose_recount()
+        self._update_recount()
 
-    def _choose_recount(self) -> None:
-        # A busy server never reports a count below `untracked`, since its count
-        # includes this owner's requests. Letting those end gives an exact one.
+    def _update_recount(self) -> None:
+        # A busy server may never report a count below `untracked`, since the count
+        # includes this owner's requests. It is exact once those have ended.
         if self.is_recounting:
             self.is_recounting = self.in_flight > 0
         elif (
@@ -117,7 +124,7 @@
 
 @attrs.define
 class SlotPool:
-    """The backend servers of one shard; never more than their slots in use.
+    """The backend servers of one shard, none of which is used beyond its capacity.
 
     Attributes:
         rng: Source of the random choices; seeded in tests.
@@ -127,15 +134,15 @@
     _backend_by_id: dict[str, BackendSlots] = attrs.field(factory=dict)
 
     def add(self, backend_id: str, service: str, slots: int, connections: int) -> None:
-        """Add a server; it is used once its count is known.
+        """Add a server; it is selectable once its slots in use are known.
 
-        Adding a server again while requests to it are open keeps their count.
+        Requests in flight stay counted if the server is added again.
 
         Args:
             backend_id: Instance id of the server.
             service: The service that it runs.
             slots: Requests that it runs at once.
-            connections: Connections that it takes.
+            connections: Connections that it accepts.
         """
         capacity = min(slots, connections)
         known = self._backend_by_id.get(backend_id)
@@ -150,13 +157,13 @@
         known.capacity = capacity
 
     def remove(self, backend_id: str) -> None:
-        """Stop using a server; open requests may still be released."""
+        """Stop using a server; requests in flight may still be released."""
         backend = self._backend_by_id.get(backend_id)
         if backend is not None:
             backend.is_removed = True
 
     def mark_leaving(self, backend_id: str) -> None:
-        """Give a server no new requests; open ones go on."""
+        """Send a server no new requests; requests in flight continue."""
         backend = self._backend_by_id.get(backend_id)
         if backend is not None:
             backend.is_leaving = True
@@ -164,8 +171,8 @@
     def mark_failed(self, backend_id: str, now_ms: int) -> None:
         """Stop selecting a server whose connection failed, until it is probed.
 
-        The server may have restarted without its fence, so its count has to be
-        asked for again.
+        The server may have restarted and lost its fencing token, so it must report
+        its slots in use again.
         """
         backend = self._backend_by_id.get(backend_id)
         if backend is None:
@@ -178,19 +185,19 @@
         backend.probe_ms = now_ms + backoff_ms
 
     def record_count(self, backend_id: str, in_use: int, asked_ms: int) -> None:
-        """Take over the count that a server gave under the current epoch.
+        """Apply the slots in use that a server reported under the current epoch.
 
         Args:
             backend_id: Instance id of the server.
-            in_use: Slots in use, by whatever owner's requests.
-            asked_ms: Time just before the count was asked for.
+            in_use: Slots in use by requests of any owner.
+            asked_ms: Time just before the count was requested.
         """
         backend = self._backend_by_id.get(backend_id)
         if backend is not None and asked_ms > backend.failed_ms:
             backend.apply_count(in_use, asked_ms)
 
     def acquire(self, service: str) -> str | None:
-        """Take a slot for a request.
+        """Acquire a slot for a request.
 
         Returns:
             Instance id of the server, or None if no slot is free.
@@ -208,9 +215,9 @@
         return backend.backend_id
 
     def release(self, backend_id: str) -> None:
-        """Give back the slot of a request that the server answered.
+        """Release the slot of a request that the server answered.
 
-        An answer ends the back-off; a count does not, since a server may answer
+        An answer resets the back-off. A count does not, since a server may answer
         probes and fail every request.
 
         Raises:
@@ -221,10 +228,11 @@
         backend.failed_answers = 0
 
     def release_failed(self, backend_id: str, now_ms: int) -> None:
-        """Give back the slot of a request that the server ran and failed.
+        """Release the slot of a request that the server ran and failed.
 
-        A server that fails everything at once is always free, so it would draw
-        the queue; after a few failures in a row it is not selected for a while.
+        A server that fails every request at once always has free slots, so most
+        requests would go to it. After `FAILED_ANSWERS_ALLOWED` consecutive failures
+        it is therefore marked as failed and backed off from.
 
         Raises:
             ValueError: If this owner holds no slot of the server.
@@ -235,7 +243,7 @@
             self.mark_failed(backend_id, now_ms)
 
     def abandon(self, backend_id: str, now_ms: int) -> None:
-        """Give up on a request that may still run on the server.
+        """Abandon a request that may still run on the server.
 
         Its slot stays counted until a later probe shows a lower count.
 
@@ -250,11 +258,11 @@
         )
 
     def due_probes(self, now_ms: int) -> tuple[str, ...]:
-        """Return the servers that should be asked for their count now.
+        """Return the ids of the servers to probe for their slots in use now.
 
-        Also forgets removed servers whose requests have ended.
+        Also discards removed servers whose requests have ended.
         """
-        self._forget_removed(now_ms)
+        self._discard_removed(now_ms)
         return tuple(
             backend.backend_id
             for backend in self._backend_by_id.values()
@@ -262,16 +270,16 @@
         )
 
     def free_slots(self, service: str) -> int:
-        """Return the slots that requests of a service could take now."""
+        """Return the number of slots available to requests of a service now."""
         backends = self._backend_by_id.values()
         return sum(backend.free for backend in backends if backend.service == service)
 
     def untracked_total(self) -> int:
-        """Return how many slots requests of unknown teams may hold."""
+        """Return how many slots requests of unknown teams may use."""
         return sum(backend.untracked for backend in self._backend_by_id.values())
 
     def backend_ids(self) -> set[str]:
-        """Return the servers that may be used."""
+        """Return the ids of the servers that were not removed."""
         backends = self._backend_by_id.values()
         return {b.backend_id for b in backends if not b.is_removed}
 
@@ -282,14 +290,14 @@
     def _end_request(self, backend_id: str) -> BackendSlots:
         backend = self._backend_by_id.get(backend_id)
         if backend is None or backend.in_flight == 0:
-            raise ValueError(f"no slot of {backend_id!r} is held")
+            raise ValueError(f"no slot of {backend_id!r} is in use by this owner")
         backend.in_flight -= 1
         return backend
 
-    def _forget_removed(self, now_ms: int) -> None:
+    def _discard_removed(self, now_ms: int) -> None:
         for backend in list(self._backend_by_id.values()):
-            is_ended = (
+            has_ended = (
                 backend.in_flight == 0 and now_ms >= backend.late_arrival_until_ms
             )
-            if backend.is_removed and is_ended:
+            if backend.is_removed and has_ended:
                 del self._backend_by_id[backend.backend_id]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -40,7 +40,7 @@
 def test_work_that_could_never_run_is_refused_with_its_reason(
     spec: JobSpec, team: Team, reason: str
 ) -> None:
-    """Guards against work that is accepted and then waits for ever."""
+    """Guards against accepting work that then waits indefinitely."""
     with pytest.raises(MarjoramgradeError) as caught:
         check_job(spec, team, CELL)
     assert caught.value.details["reason"].startswith(reason)
@@ -59,10 +59,10 @@
     ],
 )
 def test_work_that_just_fits_is_accepted(spec: JobSpec, team: Team) -> None:
-    """Guards against a check that refuses what an empty cell could run."""
+    """Guards against refusing a job that an empty cell could run."""
     check_job(spec, team, CELL)
 
 
-def test_an_unknown_cell_refuses_no_shape() -> None:
-    """Guards against refusals while no worker has reported after a start."""
+def test_no_job_is_refused_for_its_size_while_no_worker_is_known() -> None:
+    """Guards against refusals after a start, before any worker has reported."""
     check_job(GANG, Team("a"), {"g.0": []})
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -61,7 +61,7 @@
 
 
 def test_leaving_failed_and_removed_servers_get_no_requests() -> None:
-    """Guards against new work on a departing server (invariant 9)."""
+    """Guards against new work on a leaving server (invariant 9)."""
     for stop in (
         lambda pool: pool.mark_leaving("b1"),
         lambda pool: pool.mark_failed("b1", 10),
@@ -74,16 +74,16 @@
         pool.release("b1")
 
 
-def test_a_failed_server_is_probed_after_a_growing_pause() -> None:
-    """Guards against a dead server that is dialled without pause."""
+def test_a_failed_server_is_probed_after_a_growing_back_off() -> None:
+    """Guards against connecting to a failed server without back-off."""
     pool = counted_pool("b1")
-    pauses = []
+    backoffs_ms = []
     for now_ms in range(0, 200_000, 20_000):
         pool.mark_failed("b1", now_ms)
         due = (t for t in range(20_000) if pool.due_probes(now_ms + t))
-        pauses.append(next(due))
-    assert pauses == sorted(pauses)
-    assert pauses[0] < pauses[-1] == MAX_BACKOFF_MS
+        backoffs_ms.append(next(due))
+    assert backoffs_ms == sorted(backoffs_ms)
+    assert backoffs_ms[0] < backoffs_ms[-1] == MAX_BACKOFF_MS
     pool.record_count("b1", 0, asked_ms=180_000)
     assert pool.acquire("quick") is None, "the count is older than the failure"
     pool.record_count("b1", 0, asked_ms=190_000)
@@ -91,7 +91,7 @@
 
 
 def test_two_choices_spread_the_load() -> None:
-    """Guards against one server that fills while others idle."""
+    """Guards against one server that is fully loaded while others idle."""
     pool = counted_pool(*(f"b{n}" for n in range(24)), slots=8)
     for _ in range(96):
         pool.acquire("quick")
@@ -99,15 +99,15 @@
     assert max(loads) <= 6 and min(loads) >= 2
 
 
-def test_a_busy_server_is_emptied_for_an_exact_count() -> None:
-    """Guards against slots of an earlier owner that are counted for ever."""
+def test_a_busy_server_gets_no_requests_until_its_count_is_exact() -> None:
+    """Guards against slots of an earlier owner that stay counted indefinitely."""
     pool = SlotPool(random.Random(1))
     pool.add("b1", "quick", 4, 64)
     pool.record_count("b1", 2, asked_ms=0)
     pool.acquire("quick")
     pool.acquire("quick")
     for asked_ms in range(1, RECOUNT_AFTER_PROBES + 1):
-        pool.record_count("b1", 2, asked_ms)  # both are this owner's by now
+        pool.record_count("b1", 2, asked_ms)  # both are now this owner's
     pool.release("b1")
     assert pool.acquire("quick") is None
     pool.release("b1")
@@ -116,7 +116,7 @@
 
 
 def test_an_abandoned_request_stays_counted_until_it_must_have_arrived() -> None:
-    """Guards against a count that lacks a request still on its way."""
+    """Guards against a count that lacks a request still in transit."""
     pool = counted_pool("b1", slots=1)
     pool.acquire("quick")
     pool.abandon("b1", now_ms=100)
@@ -127,7 +127,7 @@
 
 
 def test_an_answer_that_was_under_way_does_not_undo_a_failure() -> None:
-    """Guards against a restarted server that is used without its fence."""
+    """Guards against using a restarted server that lost its fencing token."""
     pool = counted_pool("b1")
     pool.acquire("quick")
     pool.mark_failed("b1", now_ms=100)
@@ -143,7 +143,7 @@
 
 
 class SlotMachine(RuleBasedStateMachine):
-    """Owners that take over from each other in front of one real server."""
+    """Owners that take over one real server from each other."""
 
     pool_type = SlotPool
     slots = 1
@@ -241,7 +241,9 @@
         assert len(self.running) <= self.slots
 
 
-class ForgetfulSlots(BackendSlots):
+class CountIgnoringSlots(BackendSlots):
+    """Slots that treat every reported count as zero."""
+
     def apply_count(self, in_use: int, asked_ms: int) -> None:
         super().apply_count(0, asked_ms)
 
@@ -275,15 +277,15 @@
     machine.never_overcommitted()
 
 
-def test_the_machine_finds_a_pool_that_forgets_earlier_requests() -> None:
-    """Guards against a machine that would not notice overcommitted servers."""
+def test_the_machine_finds_a_pool_that_ignores_earlier_requests() -> None:
+    """Guards against a machine that does not detect overcommitted servers."""
     take_over_from_a_busy_owner(SlotMachine())
     with pytest.raises(AssertionError):
-        take_over_from_a_busy_owner(machine_with(ForgetfulSlots)())
+        take_over_from_a_busy_owner(machine_with(CountIgnoringSlots)())
 
 
-def test_a_server_that_fails_every_request_is_left_alone_for_a_while() -> None:
-    """Guards against a broken server that draws the queue by being free."""
+def test_a_server_that_fails_every_request_is_backed_off_from() -> None:
+    """Guards against a broken server that attracts requests as it is always free."""
     pool = SlotPool(random.Random(1))
     pool.add("broken", "checks", 8, 64)
     pool.record_count("broken", 0, asked_ms=1)
