--- a/marjoramgrade/decisions/shares.py
+++ b/marjoramgrade/decisions/shares.py
@@ -30,9 +30,7 @@
         weight_by_team: Weights; a team that is not listed has weight 1.
         demand_by_team: Resources that each team would use on its own.
     """
-    wanted = {
-        name: demand.dominant_share(total) for name, demand in demand_by_team.items()
-    }
+    wanted = {t: d.dominant_share(total) for t, d in demand_by_team.items()}
     # Lists, not sets: the order of summation must not vary between processes.
     active = [team for team, share in wanted.items() if share > 0]
     weights = {team: weight_by_team.get(team, 1) for team in active}
