--- a/marjoramgrade/decisions/workers.py
+++ b/marjoramgrade/decisions/workers.py
@@ -81,7 +81,8 @@
     def add(self, node: WorkerNode) -> None:
         """Add a worker, or replace the known worker with the same id.
 
-        The allocations and holds of a known worker stay.
+        The allocations and holds of a known worker stay. If it was draining, it becomes
+        schedulable again.
 
         Raises:
             OvercommitError: If the allocations of the known worker exceed the new
