--- a/marjoramgrade/decisions/joining.py
+++ b/marjoramgrade/decisions/joining.py
@@ -1,8 +1,10 @@
-"""When an instance that has just registered may change shared state.
+"""Rules for when a joining member may change shared state.
 
-An owner that relies on promises asks only the members that it knows of. A
-newcomer is unknown to it until one of them has acknowledged the newcomer; that
-member then refuses a promise to whoever does not ask the newcomer too.
+An owner that relies on promises (time-limited guarantees of its peers) requests
+them only from the members that it knows. A joining member, whose row has just been
+registered, may be unknown to the owner. It must therefore be acknowledged by one of
+those members, which then refuses a promise to any requester that does not list the
+joining member.
 """
 
 from __future__ import annotations
@@ -15,13 +17,13 @@
 def may_change_config(
     instance_id: str, registered: Iterable[str], acknowledged_by: Iterable[str]
 ) -> bool:
-    """Return whether the newcomer rule lets an instance change the configuration.
+    """Return whether the joining rule lets an instance change the configuration.
 
     Args:
         instance_id: This instance.
         registered: The members whose rows were first written before the row of
-            this instance; counting later ones would let two that start at once
-            wait for each other.
+            this instance. If later ones were included, two instances that start
+            at the same time would wait for each other.
         acknowledged_by: The members that have acknowledged this instance.
     """
     others = frozenset(registered) - {instance_id}
@@ -34,11 +36,10 @@
     registered: Iterable[str],
     acknowledged_by: Iterable[str],
 ) -> bool:
-    """Return whether the newcomer rule lets an instance take over a shard.
+    """Return whether the joining rule lets an instance take over a shard.
 
-    Only the owner and the guardians on the row make promises for the shard, so
-    only one of them can acknowledge a newcomer for it. A released shard is held
-    by nobody.
+    Only the owner and the standbys on the row give promises for the shard, so the
+    acknowledgement must come from one of them. A released shard has no holder.
 
     Args:
         instance_id: This instance.
@@ -48,7 +49,7 @@
     """
     if not row.owner or instance_id in {row.owner, *row.guardians}:
         return True
-    promisers = {row.owner, *row.guardians}
-    if promisers & frozenset(acknowledged_by):
+    granters = {row.owner, *row.guardians}
+    if granters & frozenset(acknowledged_by):
         return True
-    return not promisers & frozenset(registered)
+    return not granters & frozenset(registered)
--- a/marjoramgrade/decisions/promises.py
+++ b/marjoramgrade/decisions/promises.py
@@ -1,9 +1,10 @@
-"""Promises that stand in for the table while nobody can reach it.
+"""Promises that replace access to the table during an outage of the table.
 
-An instance that promises changes nothing that others rely on for a while: it
+A promise is a time-limited guarantee of a peer. Until it expires, the peer
 writes no configuration, takes over no shard and removes no member. An instance
-that holds such promises from every other member therefore knows that nothing
-has changed. The granter counts from its answer, the holder from before it asked.
+that holds promises from all other members therefore knows that shared state has
+not changed. The granter measures the period from its reply, the holder from just
+before it sent the request.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Refusal(enum.Enum):
-    """Why an instance makes no promise."""
+    """Reason for which an instance refuses a promise."""
 
     TABLE_REACHED = "table_reached"
     WRITE_IN_FLIGHT = "write_in_flight"
@@ -31,12 +32,12 @@
 
 @attrs.frozen
 class PromiseRequest:
-    """Asks for a promise.
+    """Request for a promise.
 
     Attributes:
-        scope: `FLEET_SCOPE`, or the name of the zone whose shard is held.
-        members: The members whose promises the asker will collect: every
-            registered member, or the guardians of the shard.
+        scope: `FLEET_SCOPE`, or the name of the zone that contains the held shard.
+        members: The members whose promises the requester will collect: all
+            registered members, or the standbys of the shard.
     """
 
     scope: str
@@ -45,11 +46,11 @@
 
 @attrs.frozen
 class PromiseReply:
-    """Makes a promise or refuses it.
+    """Reply that grants or refuses a promise.
 
     Attributes:
-        refusal: Why there is no promise, or None if there is one.
-        config_version: Version of the configuration that the granter has.
+        refusal: Reason for the refusal, or None if the promise is granted.
+        config_version: Version of the granter's configuration.
     """
 
     refusal: Refusal | None
@@ -58,27 +59,33 @@
 
 @attrs.frozen
 class ReceivedPromise:
-    """The latest promise of one peer, counted from before it was asked for."""
+    """The latest promise of one peer.
+
+    Attributes:
+        asked_ms: Time just before the request was sent.
+        config_version: Version of the granter's configuration.
+    """
 
     asked_ms: int
     config_version: int
 
     @property
     def until_ms(self) -> int:
-        """The holder may rely on the promise before this time."""
+        """Time at which the promise expires for its holder."""
         return self.asked_ms + PROMISE_MS
 
 
 @attrs.define
 class GivenPromises:
-    """What this instance has promised, and what it must not promise.
+    """Promises that this instance has given, and conditions that prevent new ones.
 
     Attributes:
         is_admitted: Whether this instance may itself change the configuration.
-        is_table_reached: Whether the last access to the table was answered.
-        has_read_table: Whether this process has read the configuration; before
-            that it may be older than one that an earlier life of it accepted.
-        until_ms: End of the last promise given.
+        is_table_reached: Whether the last access to the table succeeded.
+        has_read_table: Whether this process has read the configuration. Until
+            then its configuration may be older than one that an earlier
+            incarnation of the instance accepted.
+        until_ms: Time at which the last promise given expires.
     """
 
     is_admitted: bool = False
@@ -86,19 +93,19 @@
     has_read_table: bool = True
     until_ms: int = 0
     _writes_in_flight: set[str] = attrs.field(factory=set)
-    _zone_by_newcomer: dict[str, str] = attrs.field(factory=dict)
+    _zone_by_joining_member: dict[str, str] = attrs.field(factory=dict)
 
     def attest(
         self, request: PromiseRequest, config_version: int, now_ms: int
     ) -> PromiseReply:
-        """Make a promise or refuse it.
+        """Grant or refuse a promise.
 
         A write whose outcome is unknown may take effect later, so no promise is
-        made before it is resolved. A newcomer that this instance acknowledged
-        may change things, so the asker must know of it.
+        granted until the outcome is known. A joining member that this instance
+        acknowledged may change shared state, so the request must list it.
 
         Args:
-            request: What the peer asks for.
+            request: The peer's request.
             config_version: Version of this instance's configuration.
             now_ms: The current time.
         """
@@ -116,12 +123,13 @@
         return PromiseReply(refusal, config_version)
 
     def begin_write(self, write_id: str, now_ms: int) -> bool:
-        """Take note of a write to the configuration, a shard row or a member row.
+        """Record a write to the configuration, a shard row or a member row.
 
-        Must be called right before the write is sent, with no wait in between.
+        Must be called immediately before the write is sent, without an `await`
+        in between.
 
         Returns:
-            Whether the write may be sent; not while a promise is in force.
+            Whether the write may be sent; False while a promise is in force.
         """
         if now_ms < self.until_ms:
             return False
@@ -129,76 +137,77 @@
         return True
 
     def end_write(self, write_id: str) -> None:
-        """Take note that a write took effect or certainly never will."""
+        """Record that a write took effect or can no longer take effect."""
         self._writes_in_flight.discard(write_id)
 
     def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
-        """Agree that a registered newcomer may change things.
+        """Allow a registered joining member to change shared state.
 
         Args:
             joining_member: Instance id; its member row must have been written.
-            zone: Its zone, whose shards it may take over.
+            zone: Zone of the joining member, whose shards it may take over.
             now_ms: The current time.
 
         Returns:
-            Whether it is acknowledged; not while a promise is in force, since
-            the holder may not know of the newcomer, and not by an instance that
-            was not admitted itself, since nobody may have asked it to promise.
+            Whether the joining member is acknowledged. False while a promise is
+            in force, since its holder may not know of the joining member. Also
+            False if this instance is not admitted, since the other members may
+            not have requested a promise from it.
         """
         if now_ms < self.until_ms or not self.is_admitted:
             return False
-        self._zone_by_newcomer[joining_member] = zone
+        self._zone_by_joining_member[joining_member] = zone
         return True
 
     def remove_member(self, member: str) -> None:
-        """Take note that a member row was removed."""
-        self._zone_by_newcomer.pop(member, None)
+        """Discard a member whose row was removed from the table."""
+        self._zone_by_joining_member.pop(member, None)
 
     def joining_members(self, scope: str) -> set[str]:
-        """Return the acknowledged newcomers that may change things in a scope."""
+        """Return the acknowledged joining members that may change state in a scope."""
         return {
             joining_member
-            for joining_member, zone in self._zone_by_newcomer.items()
+            for joining_member, zone in self._zone_by_joining_member.items()
             if scope in (FLEET_SCOPE, zone)
         }
 
 
 @attrs.define
 class ReceivedPromises:
-    """The promises of every member of one scope.
+    """Promises received from the members of one scope.
 
     Attributes:
         instance_id: This instance, whose own promise is not needed.
-        scope: `FLEET_SCOPE`, or the name of the zone whose shard is held.
-        acknowledged: Newcomers of the scope that this instance acknowledged.
+        scope: `FLEET_SCOPE`, or the name of the zone that contains the held shard.
+        acknowledged: Joining members of the scope that this instance acknowledged.
     """
 
     instance_id: str
     scope: str
     acknowledged: set[str] = attrs.field(factory=set)
     _members: frozenset[str] | None = None
-    _proposed: frozenset[str] = frozenset()
+    _proposed_members: frozenset[str] = frozenset()
     _promise_by_peer: dict[str, ReceivedPromise] = attrs.field(factory=dict)
 
     @property
     def peers(self) -> frozenset[str]:
         """The peers whose promises are needed."""
-        members = (self._members or frozenset()) | self._proposed
+        members = (self._members or frozenset()) | self._proposed_members
         return (members | self.acknowledged) - {self.instance_id}
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Take over the list of members that the table holds."""
+        """Replace the member list by the one read from the table."""
         self._members = frozenset(members)
-        self._proposed = frozenset()
+        self._proposed_members = frozenset()
 
     def add_proposed_members(self, members: Iterable[str]) -> None:
-        """Take note of a list that is about to be written to the shard row.
+        """Add the members of a list that is about to be written to the shard row.
 
-        Must be called before each renewal and before the takeover itself. Until
-        the answer arrives, the table may hold the old list or the new one, and a
-        guardian on either may take over.
+        Must be called before the takeover and before each renewal. Until the
+        reply arrives, the table may hold the old list or the new one, and a
+        standby on either list may take over.
         """
-        self._proposed |= frozenset(members)
+        self._proposed_members |= frozenset(members)
 
     def request(self) -> PromiseRequest:
         """Return the request to send to each peer."""
@@ -211,32 +220,36 @@
         reply: PromiseReply,
         asked_ms: int,
     ) -> None:
-        """Take over a reply.
+        """Record a peer's reply.
+
+        A refusal is ignored, as are a reply to a request that did not list all
+        current peers and a reply to an older request.
 
         Args:
             peer: The granter.
             request: The request that the reply answers.
-            reply: What the peer answered.
+            reply: The peer's reply.
             asked_ms: Time just before the request was sent.
         """
         if reply.refusal is not None or not self.peers <= request.members:
             return
-        known = self._promise_by_peer.get(peer)
-        if known is None or known.asked_ms < asked_ms:
+        previous = self._promise_by_peer.get(peer)
+        if previous is None or previous.asked_ms < asked_ms:
             promise = ReceivedPromise(asked_ms, reply.config_version)
             self._promise_by_peer[peer] = promise
 
     def until_ms(self, now_ms: int) -> int:
-        """Return the end of the authority that the promises give, or zero.
+        """Return when the authority given by the promises expires, or zero.
 
-        The only member of the fleet needs no promise, since a newcomer must ask
-        it first. An owner without other guardians has no authority of its own:
-        its member row may have been removed while its zone was cut off.
+        If the fleet has only one member, that member needs no promise, since a
+        joining member must first be acknowledged by it. A shard owner without
+        standbys has no authority on its own, since its member row may have been
+        removed during a network partition of its zone.
         """
         if self._members is None or not (self.peers or self.scope == FLEET_SCOPE):
             return 0
         promises = [self._promise_by_peer.get(peer) for peer in self.peers]
-        ends = (0 if found is None else found.until_ms for found in promises)
+        ends = (0 if promise is None else promise.until_ms for promise in promises)
         return min(ends, default=now_ms + PROMISE_MS)
 
     def holds(self, now_ms: int) -> bool:
@@ -244,15 +257,15 @@
         return now_ms < self.until_ms(now_ms)
 
     def confirmed_from_ms(self, config_version: int, now_ms: int) -> int | None:
-        """Return since when a configuration is known to be current.
+        """Return the time at which the configuration was last known to be current.
 
         Args:
             config_version: Version of this instance's configuration.
             now_ms: The current time.
 
         Returns:
-            The time before the earliest promise was asked for, or None if a
-            promise is missing or a peer has a newer configuration.
+            Time just before the earliest of the promises was requested, or None
+            if a promise is missing or a peer has a newer configuration.
         """
         if not self.holds(now_ms):
             return None
@@ -262,13 +275,13 @@
         return min((promise.asked_ms for promise in promises), default=now_ms)
 
     def extend(self, lease: HeldLease, now_ms: int) -> bool:
-        """Extend the ownership of a shard as far as the promises reach.
+        """Extend the lease on a shard until the promises expire.
 
-        A lease that has lapsed stays so: a guardian may have taken the shard
-        over before it made its promise.
+        A lapsed lease is not extended, since a standby may have taken over the
+        shard before it gave its promise.
 
         Returns:
-            Whether the lease holds.
+            Whether the lease is in force.
         """
         if lease.holds(now_ms):
             lease.until_ms = max(lease.until_ms, self.until_ms(now_ms))
@@ -277,13 +290,13 @@
 
 @attrs.define
 class PromiseTracker:
-    """Every promise that this instance has given and received.
+    """All promises that this instance has given and received.
 
     Attributes:
         instance_id: This instance.
-        zone: Its zone.
-        given: Promises given to others.
-        fleet: Promises of every registered member.
+        zone: Zone of this instance.
+        given: Promises given to other instances.
+        fleet: Promises received from all registered members.
     """
 
     instance_id: str
@@ -297,7 +310,7 @@
         return ReceivedPromises(self.instance_id, FLEET_SCOPE)
 
     def for_shard(self, shard: str) -> ReceivedPromises:
-        """Return the promises of the guardians of a shard that is held."""
+        """Return the promises received from the standbys of a held shard."""
         received = self._received_by_shard.get(shard)
         if received is None:
             received = ReceivedPromises(self.instance_id, self.zone)
@@ -307,14 +320,14 @@
         return received
 
     def discard_shard(self, shard: str) -> None:
-        """Forget the promises for a shard that is no longer held."""
+        """Discard the promises for a shard that is no longer held."""
         self._received_by_shard.pop(shard, None)
 
     def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
-        """Agree that a newcomer may change things; see `GivenPromises.acknowledge`.
+        """Allow a joining member to change state; see `GivenPromises.acknowledge`.
 
-        From then on this instance needs the newcomer's promise as well, even if
-        its own copy of the member list is older.
+        From then on this instance also needs the joining member's promise, even
+        if its copy of the member list does not include that member yet.
         """
         if not self.given.acknowledge(joining_member, zone, now_ms):
             return False
@@ -325,7 +338,7 @@
         return True
 
     def remove_member(self, member: str) -> None:
-        """Take note that a member row was removed."""
+        """Discard a member whose row was removed from the table."""
         self.given.remove_member(member)
         for received in (self.fleet, *self._received_by_shard.values()):
             received.acknowledged.discard(member)
