--- a/marjoramgrade/decisions/fencing.py
+++ b/marjoramgrade/decisions/fencing.py
@@ -1,4 +1,4 @@
-"""Checks at the receiving end: epochs and the worker's own lease."""
+"""Checks on the receiver's side: fencing tokens (epochs) and the worker's lease."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.define
 class EpochFence:
-    """Admits only the highest epoch seen so far.
+    """Rejects messages of an epoch below the highest one seen so far.
 
     Attributes:
         epoch: The highest epoch admitted.
@@ -20,7 +20,7 @@
     epoch: int = 0
 
     def admit(self, epoch: int) -> bool:
-        """Return whether a message of this epoch may act, and remember the epoch."""
+        """Return whether to accept a message of this epoch; if so, store the epoch."""
         if epoch < self.epoch:
             return False
         self.epoch = epoch
@@ -29,13 +29,13 @@
 
 @attrs.define
 class HeartbeatLease:
-    """A worker's lease on running tasks, held by heartbeats that are answered.
+    """A worker's lease on running tasks, extended by answered heartbeats.
 
-    The lease counts from the time a heartbeat was sent, not from the arrival of
-    its answer: an answer that was delayed in a buffer extends nothing.
+    The lease is measured from the time at which a heartbeat was sent, not from the
+    arrival of its answer, so an answer delayed in a buffer does not extend it.
 
     Attributes:
-        until_ms: Tasks may run before this time on the worker's clock.
+        until_ms: Time on the worker's clock at which the lease expires.
     """
 
     until_ms: int = 0
@@ -43,26 +43,26 @@
     _last_seq: int = 0
 
     def heartbeat(self, now_ms: int) -> int:
-        """Return the sequence number of a heartbeat that is sent now."""
+        """Record a heartbeat that is sent now and return its sequence number."""
         self._last_seq += 1
         self._sent_ms_by_seq[self._last_seq] = now_ms
-        # An answer to an older heartbeat could extend nothing any more.
+        # An answer to an older heartbeat could no longer extend the lease.
         self._sent_ms_by_seq.pop(self._last_seq - MAX_UNANSWERED_HEARTBEATS, None)
         return self._last_seq
 
     def record_grant(self, seq: int, lease_ms: int) -> None:
-        """Take the owner's answer to a heartbeat.
+        """Extend the lease by the owner's answer to a heartbeat.
 
         Args:
-            seq: The heartbeat that is answered; unknown numbers are ignored.
-            lease_ms: Length of the lease from the sending of the heartbeat.
+            seq: Number of the answered heartbeat; unknown numbers are ignored.
+            lease_ms: Length of the lease from when the heartbeat was sent.
         """
         sent_ms = self._sent_ms_by_seq.get(seq)
         if sent_ms is None:
             return
         self.until_ms = max(self.until_ms, sent_ms + lease_ms)
-        for old in [number for number in self._sent_ms_by_seq if number <= seq]:
-            del self._sent_ms_by_seq[old]
+        for answered in [number for number in self._sent_ms_by_seq if number <= seq]:
+            del self._sent_ms_by_seq[answered]
 
     def holds(self, now_ms: int) -> bool:
         """Return whether tasks may run now."""
--- a/marjoramgrade/decisions/freshness.py
+++ b/marjoramgrade/decisions/freshness.py
@@ -1,4 +1,4 @@
-"""Whether this instance's configuration is known to be current."""
+"""Lease on the use of this instance's copy of the configuration."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @attrs.define
 class FreshnessLease:
-    """Holds while the configuration in force was confirmed recently.
+    """Lease that is in force while the configuration was confirmed recently.
 
-    A change accepted elsewhere is in force here, or this instance has stopped
-    relying on its copy, once the lease has run out.
+    By the time the lease expires, a change that was accepted elsewhere is in force
+    here, or this instance has stopped using its copy.
 
     Attributes:
-        until_ms: The configuration may be relied on before this time.
+        until_ms: Time at which the lease expires.
     """
 
     until_ms: int = 0
@@ -25,10 +25,11 @@
 
         Args:
             asked_ms: Time just before the table was read, or just before the
-                earliest of the promises of every member was asked for.
+                earliest of the promises (time-limited guarantees) of all members
+                was requested.
         """
         self.until_ms = max(self.until_ms, asked_ms + FRESHNESS_MS)
 
     def holds(self, now_ms: int) -> bool:
-        """Return whether the configuration may be relied on now."""
+        """Return whether the configuration may be used now."""
         return now_ms < self.until_ms
--- a/marjoramgrade/decisions/ownership.py
+++ b/marjoramgrade/decisions/ownership.py
@@ -1,7 +1,8 @@
 """Ownership of a shard by a lease with an epoch.
 
-Gray and Cheriton, "Leases", SOSP 1989: the holder counts the lease from before
-it asked, everyone else from after the answer, so no common clock is needed.
+Gray and Cheriton, "Leases", SOSP 1989: the holder measures the lease from just
+before it sent the request, all others from the arrival of the response, so clocks
+need not be synchronized.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 OWNERSHIP_LEASE_MS = 6_000
 RENEW_INTERVAL_MS = 2_000
-# Two monotonic clocks may differ by this much over one lease.
+# Upper bound of the drift between two monotonic clocks over one lease.
 DRIFT_MARGIN_MS = 500
 
 
@@ -20,10 +21,11 @@
 
     Attributes:
         shard: Name of the shard, `zone.number`.
-        owner: Instance id of the owner, or empty after a hand-over.
-        epoch: Raised by every change of owner; it never falls.
-        renewal: Raised by every renewal.
-        guardians: Instances of the zone whose promises can extend ownership.
+        owner: Instance id of the owner, or empty after the owner released it.
+        epoch: Number of the ownership, raised by each takeover; never decreases.
+        renewal: Number of renewals by this owner.
+        guardians: Ids of the standbys: the instances of the zone whose promises
+            (time-limited guarantees) can extend the ownership.
     """
 
     shard: str
@@ -33,7 +35,7 @@
     guardians: tuple[str, ...] = ()
 
     def taken_over_by(self, instance_id: str, guardians: tuple[str, ...]) -> ShardRow:
-        """Return the row after a change of owner."""
+        """Return the row after a takeover by an instance."""
         return attrs.evolve(
             self,
             owner=instance_id,
@@ -47,7 +49,7 @@
         return attrs.evolve(self, renewal=self.renewal + 1, guardians=guardians)
 
     def released(self) -> ShardRow:
-        """Return the row after its owner gave the shard up."""
+        """Return the row after its owner released the shard."""
         return attrs.evolve(self, owner="")
 
 
@@ -57,45 +59,51 @@
 
     Attributes:
         epoch: The epoch under which the shard is held.
-        until_ms: The holder may act before this time on its own clock.
+        until_ms: Time on the holder's clock at which the lease expires.
     """
 
     epoch: int
     until_ms: int = 0
 
     def confirm(self, asked_ms: int, lease_ms: int = OWNERSHIP_LEASE_MS) -> None:
-        """Extend the lease after a positive answer.
+        """Extend the lease after the table accepted a takeover or renewal.
 
         Args:
-            asked_ms: Time just before the renewal was sent.
+            asked_ms: Time just before the write was sent.
             lease_ms: Length of the lease from that time.
         """
         self.until_ms = max(self.until_ms, asked_ms + lease_ms)
 
     def holds(self, now_ms: int) -> bool:
-        """Return whether the holder may act now."""
+        """Return whether the lease is in force."""
         return now_ms < self.until_ms
 
     def revoke(self) -> None:
-        """End the lease at once."""
+        """End the lease immediately."""
         self.until_ms = 0
 
 
 @attrs.define
 class ObservedLease:
-    """A candidate's view of a lease that another instance holds."""
+    """A takeover candidate's view of a lease that another instance holds.
+
+    Attributes:
+        version: Version of the row in the table, or -1 before the first read.
+        unchanged_since_ms: Time at which this version was first read.
+        is_released: Whether the row has no owner.
+    """
 
     version: int = -1
     unchanged_since_ms: int = 0
     is_released: bool = False
 
     def observe(self, row: ShardRow, version: int, answered_ms: int) -> None:
-        """Take note of a read of the ownership row.
+        """Record the result of reading the ownership row.
 
         Args:
             row: The row as read.
             version: Version of the row in the table.
-            answered_ms: Time at which the answer arrived.
+            answered_ms: Time at which the response arrived.
         """
         self.is_released = row.owner == ""
         if version != self.version:
@@ -103,7 +111,7 @@
             self.unchanged_since_ms = answered_ms
 
     def may_take_over(self, now_ms: int, lease_ms: int = OWNERSHIP_LEASE_MS) -> bool:
-        """Return whether the observed lease has certainly lapsed."""
+        """Return whether the shard is released or its lease has certainly lapsed."""
         if self.version < 0:
             return False
         if self.is_released:
