--- a/marjoramgrade/decisions/membership.py
+++ b/marjoramgrade/decisions/membership.py
@@ -1,4 +1,4 @@
-"""Which instances may get work: the platform's list and own observations."""
+"""Selects usable instances by the platform's list and by observed failures."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class Observation:
-    """What this instance has seen of another one.
+    """State of another instance as observed by this one.
 
     Attributes:
-        failures: Failed connections in a row.
+        failures: Number of consecutive failed connections.
         failed_ms: Time of the last failure.
-        is_leaving: Whether the other instance said that it is leaving.
+        is_leaving: Whether the other instance announced that it is leaving.
     """
 
     failures: int = 0
@@ -28,7 +28,7 @@
 
     @property
     def retry_ms(self) -> int:
-        """Time from which a connection may be tried again."""
+        """Earliest time of the next connection attempt."""
         if not self.failures:
             return 0
         backoff_ms = FIRST_BACKOFF_MS << min(self.failures - 1, 16)
@@ -37,12 +37,12 @@
 
 @attrs.frozen
 class ListChange:
-    """What a new list changed.
+    """Differences between a new list of instances and the previous one.
 
     Attributes:
-        added: Instances that were not known before.
-        removed: Instances that the list no longer has.
-        leaving: Instances that are leaving and were not before.
+        added: Instances that the previous list did not contain.
+        removed: Instances that the new list no longer contains.
+        leaving: Instances that are leaving and were not known to be leaving before.
     """
 
     added: tuple[Instance, ...] = ()
@@ -52,15 +52,15 @@
 
 @attrs.define
 class MemberView:
-    """The instances of every kind, as this instance knows them.
+    """This instance's view of the instances of all kinds.
 
-    The list lags behind, so a failure that was seen here counts more than the
-    list: a failed instance is out of use at once, and comes back only when a
-    connection to it worked again. Leaving is never taken back, since ids are
-    not reused.
+    The platform's list lags behind, so failures observed here override it: a
+    failed instance is unusable immediately, and becomes usable again only after
+    a successful connection. Leaving is irreversible, since ids are not reused.
 
     Attributes:
-        listed_ms: Time just before the last list was asked for.
+        listed_ms: Time just before the last list was requested, or -1 before the
+            first list.
     """
 
     listed_ms: int = -1
@@ -68,26 +68,26 @@
     _observation_by_id: dict[str, Observation] = attrs.field(factory=dict)
 
     def apply_list(self, instances: Iterable[Instance], asked_ms: int) -> ListChange:
-        """Take over a list; one that was asked for earlier is ignored.
+        """Apply a list unless a later request's list has already been applied.
 
         Args:
-            instances: The whole list.
-            asked_ms: Time just before it was asked for.
+            instances: The complete list.
+            asked_ms: Time just before the list was requested.
 
         Returns:
-            What changed.
+            The differences from the previous list.
         """
         if asked_ms < self.listed_ms:
             return ListChange()
         self.listed_ms = asked_ms
         before = self._instance_by_id
-        was_leaving = {name for name in before if self.is_leaving(name)}
+        leaving_before = {name for name in before if self.is_leaving(name)}
         after = {instance.instance_id: instance for instance in instances}
         removed = tuple(before[name] for name in before if name not in after)
         for instance in removed:
             self._observation_by_id.pop(instance.instance_id, None)
-        for name in was_leaving & after.keys():
-            self._observe(name, is_leaving=True)
+        for name in leaving_before & after.keys():
+            self._update_observation(name, is_leaving=True)
         self._instance_by_id = after
         return ListChange(
             tuple(after[name] for name in after if name not in before),
@@ -95,7 +95,7 @@
             tuple(
                 after[name]
                 for name in after
-                if self.is_leaving(name) and name not in was_leaving
+                if self.is_leaving(name) and name not in leaving_before
             ),
         )
 
@@ -104,32 +104,32 @@
         return self._instance_by_id.get(instance_id)
 
     def mark_failed(self, instance_id: str, now_ms: int) -> None:
-        """Take note of a connection that failed."""
+        """Record a failed connection."""
         if instance_id in self._instance_by_id:
             failures = self._observation(instance_id).failures + 1
-            self._observe(instance_id, failures=failures, failed_ms=now_ms)
+            self._update_observation(instance_id, failures=failures, failed_ms=now_ms)
 
     def mark_responsive(self, instance_id: str, asked_ms: int) -> None:
-        """Take note of an answer; one asked for before a failure is ignored.
+        """Record a response unless its request was sent before the last failure.
 
         Args:
-            instance_id: The instance that answered.
-            asked_ms: Time just before it was asked.
+            instance_id: The instance that responded.
+            asked_ms: Time just before the request was sent.
         """
-        known = self._observation(instance_id)
-        if known.failures and asked_ms > known.failed_ms:
-            self._observe(instance_id, failures=0)
+        previous = self._observation(instance_id)
+        if previous.failures and asked_ms > previous.failed_ms:
+            self._update_observation(instance_id, failures=0)
 
     def mark_leaving(self, instance_id: str) -> None:
-        """Take note that an instance said itself that it is leaving."""
+        """Record that an instance announced that it is leaving."""
         if instance_id in self._instance_by_id:
-            self._observe(instance_id, is_leaving=True)
+            self._update_observation(instance_id, is_leaving=True)
 
     def is_leaving(self, instance_id: str) -> bool:
-        """Return whether an instance is about to go away."""
+        """Return whether an instance is listed as leaving or has announced it."""
         instance = self._instance_by_id.get(instance_id)
-        is_listed_so = instance is not None and instance.leaving
-        return is_listed_so or self._observation(instance_id).is_leaving
+        is_listed_as_leaving = instance is not None and instance.leaving
+        return is_listed_as_leaving or self._observation(instance_id).is_leaving
 
     def is_usable(self, instance_id: str) -> bool:
         """Return whether an instance may get new work."""
@@ -138,10 +138,10 @@
         return self._observation(instance_id).failures == 0
 
     def may_connect(self, instance_id: str, now_ms: int) -> bool:
-        """Return whether a connection to an instance may be tried now.
+        """Return whether a connection to an instance may be attempted now.
 
-        An instance that is leaving is still dialled, since its tasks and its
-        unacknowledged ends are there until it goes.
+        This includes leaving instances, which have running tasks and
+        unacknowledged ends of tasks until they stop.
         """
         if instance_id not in self._instance_by_id:
             return False
@@ -151,8 +151,8 @@
         """Return the instances that may get new work, ordered by id.
 
         Args:
-            kind: What runs there.
-            zone: Its zone, or empty for every zone.
+            kind: Kind of the instances.
+            zone: Zone of the instances, or empty for all zones.
         """
         return tuple(
             instance
@@ -171,7 +171,7 @@
     def _observation(self, instance_id: str) -> Observation:
         return self._observation_by_id.get(instance_id, Observation())
 
-    def _observe(
+    def _update_observation(
         self,
         instance_id: str,
         *,
@@ -179,11 +179,11 @@
         failed_ms: int | None = None,
         is_leaving: bool | None = None,
     ) -> None:
-        known = self._observation(instance_id)
+        previous = self._observation(instance_id)
         self._observation_by_id[instance_id] = Observation(
-            known.failures if failures is None else failures,
-            known.failed_ms if failed_ms is None else failed_ms,
-            known.is_leaving if is_leaving is None else is_leaving,
+            previous.failures if failures is None else failures,
+            previous.failed_ms if failed_ms is None else failed_ms,
+            previous.is_leaving if is_leaving is None else is_leaving,
         )
 
 
@@ -195,9 +195,10 @@
     """Return the members whose rows may be removed.
 
     Args:
-        registered: The members with a row in the table.
-        view: The instances as this instance knows them.
-        lapsed_by_member: Whether every lease of a member has certainly lapsed.
+        registered: Ids of the members that have a row in the table.
+        view: This instance's view of the instances.
+        lapsed_by_member: Whether all leases of a member have certainly lapsed,
+            by member id.
     """
     if view.listed_ms < 0:
         return frozenset()
