--- a/tests/test_joining.py
+++ b/tests/test_joining.py
@@ -2,8 +2,8 @@
 from marjoramgrade.decisions.ownership import ShardRow
 
 
-def test_the_newcomer_rule() -> None:
-    """Guards against an instance that changes things before others know it."""
+def test_the_joining_rule() -> None:
+    """Guards against an instance that changes state before other members know it."""
     assert may_change_config("c", {"c"}, ())
     assert not may_change_config("c", {"a", "c"}, ())
     assert may_change_config("c", {"a", "c"}, {"a"})
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -37,7 +37,7 @@
 
 @attrs.define
 class Write:
-    """A write on its way to the table, where it may arrive at any time."""
+    """A write in flight to the table, where it may arrive at any time."""
 
     name: str
     version: int
@@ -47,36 +47,37 @@
 @attrs.define
 class Member:
     name: str
-    book: PromiseTracker
+    tracker: PromiseTracker
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    watch: ObservedLease = attrs.field(factory=ObservedLease)
+    observed_lease: ObservedLease = attrs.field(factory=ObservedLease)
     row: ShardRow = ShardRow("z.0")
     registered: tuple[str, ...] = ()
-    earlier: tuple[str, ...] = ()
+    registered_before: tuple[str, ...] = ()
     acknowledged_by: set[str] = attrs.field(factory=set)
     write: Write | None = None
 
     @property
     def given(self) -> GivenPromises:
-        return self.book.given
+        return self.tracker.given
 
     @property
     def fleet(self) -> ReceivedPromises:
-        return self.book.fleet
+        return self.tracker.fleet
 
     @property
     def zone(self) -> ReceivedPromises:
-        return self.book.for_shard("z.0")
+        return self.tracker.for_shard("z.0")
 
 
 NAME = st.sampled_from("abc")
-OFTEN = st.sampled_from([True, True, True, False])
+MOSTLY_TRUE = st.sampled_from([True, True, True, False])
 
 
 class PromiseMachine(RuleBasedStateMachine):
-    """Three instances of a zone, the last a newcomer, and a table with outages.
+    """Three instances of a zone, `c` a joining member, and a table with outages.
 
-    Each instance sees its own outage; writes arrive late and lose their answers.
+    Outages affect each instance separately. Writes may arrive late, and their
+    responses may be lost.
     """
 
     given_type = GivenPromises
@@ -88,7 +89,7 @@
         self.row = ShardRow("z.0", "a", 1, 0, ("a", "b"))
         self.row_version = self.config_version = 1
         self.registered: tuple[str, ...] = ("a", "b")
-        self.reaches = dict.fromkeys("abc", True)
+        self.can_reach_table = dict.fromkeys("abc", True)
         self.writes: list[Write] = []
         self.members = {name: self.make_member(name) for name in "abc"}
         self.members["a"].lease = HeldLease(1, OWNERSHIP_LEASE_MS)
@@ -98,9 +99,9 @@
 
     def make_member(self, name: str) -> Member:
         fleet = self.received_type(name, FLEET_SCOPE)
-        book = PromiseTracker(name, "z", self.given_type(), fleet)
-        book._received_by_shard["z.0"] = self.received_type(name, "z")
-        return Member(name, book)
+        tracker = PromiseTracker(name, "z", self.given_type(), fleet)
+        tracker._received_by_shard["z.0"] = self.received_type(name, "z")
+        return Member(name, tracker)
 
     @rule(by_ms=st.sampled_from([500, 2_000, PROMISE_MS, 6_500]))
     def advance(self, by_ms: int) -> None:
@@ -108,24 +109,24 @@
 
     @rule(name=NAME)
     def toggle_table(self, name: str) -> None:
-        self.reaches[name] = not self.reaches[name]
+        self.can_reach_table[name] = not self.can_reach_table[name]
         self.read_table(name)
 
     @rule()
     def lose_table(self) -> None:
-        self.reaches = dict.fromkeys("abc", False)
+        self.can_reach_table = dict.fromkeys("abc", False)
         for name in "abc":
             self.read_table(name)
 
     @rule(name=NAME)
     def read_table(self, name: str) -> None:
         member = self.members[name]
-        member.given.is_table_reached = self.reaches[name]
-        if not self.reaches[name]:
+        member.given.is_table_reached = self.can_reach_table[name]
+        if not self.can_reach_table[name]:
             return
         if member.write is not None and member.write not in self.writes:
             self.end_write(member)
-        member.watch.observe(self.row, self.row_version, self.now_ms)
+        member.observed_lease.observe(self.row, self.row_version, self.now_ms)
         member.row = self.row
         member.registered = self.registered
         member.fleet.set_members(self.registered)
@@ -133,18 +134,18 @@
 
     @rule()
     def register_newcomer(self) -> None:
-        if self.reaches["c"] and "c" not in self.registered:
-            self.members["c"].earlier = self.registered
+        if self.can_reach_table["c"] and "c" not in self.registered:
+            self.members["c"].registered_before = self.registered
             self.registered = (*self.registered, "c")
 
     @rule(name=st.sampled_from("ab"))
     def acknowledge(self, name: str) -> None:
         joining_member = self.members["c"]
-        book = self.members[name].book
-        if "c" in self.registered and book.acknowledge("c", "z", self.now_ms):
+        tracker = self.members[name].tracker
+        if "c" in self.registered and tracker.acknowledge("c", "z", self.now_ms):
             joining_member.acknowledged_by.add(name)
 
-    @rule(name=NAME, peer=NAME, is_fleet=st.booleans(), is_quick=OFTEN)
+    @rule(name=NAME, peer=NAME, is_fleet=st.booleans(), is_quick=MOSTLY_TRUE)
     def ask(self, name: str, peer: str, is_fleet: bool, is_quick: bool) -> None:
         member = self.members[name]
         received = member.fleet if is_fleet else member.zone
@@ -163,14 +164,14 @@
             for peer in sorted(received.peers):
                 self.ask(name, peer, received.scope == FLEET_SCOPE, is_quick=True)
 
-    @rule(name=NAME, is_at_once=OFTEN)
+    @rule(name=NAME, is_at_once=MOSTLY_TRUE)
     def change_config(self, name: str, is_at_once: bool) -> None:
         member = self.members[name]
-        others = () if name != "c" else member.earlier or ("a", "b")
-        if may_change_config(name, others, member.acknowledged_by):
+        earlier_members = () if name != "c" else member.registered_before or ("a", "b")
+        if may_change_config(name, earlier_members, member.acknowledged_by):
             self.send(member, Write(name, self.config_version), is_at_once)
 
-    @rule(name=NAME, is_asking=OFTEN)
+    @rule(name=NAME, is_asking=MOSTLY_TRUE)
     def fail_over(self, name: str, is_asking: bool) -> None:
         self.read_table(name)
         for _ in range(4):
@@ -179,22 +180,22 @@
             self.advance(by_ms=2_000)
         self.take_over(name, is_at_once=True)
 
-    @rule(name=NAME, is_at_once=OFTEN)
+    @rule(name=NAME, is_at_once=MOSTLY_TRUE)
     def take_over(self, name: str, is_at_once: bool) -> None:
         member = self.members[name]
         row = member.row
-        if name != row.owner and member.watch.may_take_over(self.now_ms):
+        if name != row.owner and member.observed_lease.may_take_over(self.now_ms):
             allowed = may_take_over_shard(
                 name, row, member.registered, member.acknowledged_by
             )
-            taken = row.taken_over_by(name, tuple(self.registered))
+            new_row = row.taken_over_by(name, tuple(self.registered))
             if allowed:
-                member.zone.add_proposed_members(taken.guardians)
-                write = Write(name, member.watch.version, taken)
+                member.zone.add_proposed_members(new_row.guardians)
+                write = Write(name, member.observed_lease.version, new_row)
                 self.send(member, write, is_at_once)
 
     def send(self, member: Member, write: Write, is_at_once: bool) -> None:
-        is_idle = member.write is None and self.reaches[member.name]
+        is_idle = member.write is None and self.can_reach_table[member.name]
         if is_idle and member.given.begin_write("w", self.now_ms):
             member.write = write
             self.writes.append(write)
@@ -208,11 +209,11 @@
         write = self.writes.pop(pick % len(self.writes))
         member = self.members[write.name]
         if write.row is None and write.version == self.config_version:
-            self.check_nobody_relies_on(write.name)
+            self.check_no_peer_holds_promises(write.name)
             self.config_version += 1
         elif write.row is not None and write.version == self.row_version:
-            self.check_nobody_relies_on(write.name)
-            assert not self.find_holders(besides=write.name)
+            self.check_no_peer_holds_promises(write.name)
+            assert not self.find_lease_holders(excluding=write.name)
             self.row = write.row
             self.row_version += 1
             if is_answered:
@@ -225,11 +226,15 @@
         member.write = None
         member.given.end_write("w")
 
-    @rule(is_answered=OFTEN)
+    @rule(is_answered=MOSTLY_TRUE)
     def renew(self, is_answered: bool) -> None:
         owner = self.members[self.row.owner]
         is_current = owner.lease.epoch == self.row.epoch
-        if is_current and owner.lease.holds(self.now_ms) and self.reaches[owner.name]:
+        if (
+            is_current
+            and owner.lease.holds(self.now_ms)
+            and self.can_reach_table[owner.name]
+        ):
             owner.zone.add_proposed_members(owner.registered)
             self.row = self.row.renewed(tuple(owner.registered))
             self.row_version += 1
@@ -237,17 +242,19 @@
                 owner.zone.set_members(owner.registered)
                 owner.lease.confirm(self.now_ms)
 
-    def find_holders(self, besides: str) -> list[str]:
+    def find_lease_holders(self, excluding: str) -> list[str]:
         return [
             name
             for name, member in self.members.items()
-            if name != besides and member.lease.holds(self.now_ms)
+            if name != excluding and member.lease.holds(self.now_ms)
         ]
 
-    def check_nobody_relies_on(self, name: str) -> None:
+    def check_no_peer_holds_promises(self, name: str) -> None:
         for member in self.members.values():
-            relies = member.fleet.holds(self.now_ms) and member.name in self.registered
-            assert member.name == name or not relies
+            holds_promises = (
+                member.fleet.holds(self.now_ms) and member.name in self.registered
+            )
+            assert member.name == name or not holds_promises
 
 
 def test_authority_by_promises_never_overlaps_with_a_change() -> None:
@@ -255,12 +262,12 @@
     run_state_machine_as_test(PromiseMachine, settings=MACHINE)
 
 
-class Careless(GivenPromises):
+class WritesDuringPromise(GivenPromises):
     def begin_write(self, write_id: str, now_ms: int) -> bool:
         return True
 
 
-class Impatient(GivenPromises):
+class IgnoresWritesInFlight(GivenPromises):
     def attest(
         self, request: PromiseRequest, config_version: int, now_ms: int
     ) -> PromiseReply:
@@ -268,17 +275,17 @@
         return super().attest(request, config_version, now_ms)
 
 
-class Hospitable(GivenPromises):
+class AlwaysAcknowledges(GivenPromises):
     def acknowledge(self, joining_member: str, zone: str, now_ms: int) -> bool:
         return True
 
 
-class WithoutProposals(ReceivedPromises):
+class WithoutProposedMembers(ReceivedPromises):
     def add_proposed_members(self, members) -> None:
         pass
 
 
-class Majority(ReceivedPromises):
+class OnePromiseSuffices(ReceivedPromises):
     def until_ms(self, now_ms: int) -> int:
         ends = sorted(promise.until_ms for promise in self._promise_by_peer.values())
         return ends[-1] if ends else 0
@@ -298,8 +305,8 @@
     machine.arrive(pick=0, is_answered=False)
 
 
-def change_by_newcomer(machine: PromiseMachine) -> None:
-    machine.reaches.update(a=False, b=False)
+def change_by_joining_member(machine: PromiseMachine) -> None:
+    machine.can_reach_table.update(a=False, b=False)
     machine.read_table("a")
     machine.read_table("b")
     machine.register_newcomer()
@@ -308,10 +315,10 @@
     machine.change_config("c", is_at_once=True)
 
 
-def change_by_a_member_not_asked(machine: PromiseMachine) -> None:
+def change_by_member_without_request(machine: PromiseMachine) -> None:
     machine.register_newcomer()
     machine.read_table("a")
-    machine.reaches.update(a=False, b=False)
+    machine.can_reach_table.update(a=False, b=False)
     machine.read_table("a")
     machine.read_table("b")
     machine.acknowledge("b")
@@ -319,18 +326,18 @@
     machine.change_config("c", is_at_once=True)
 
 
-def takeover_by_a_guardian_of_a_lost_renewal(machine: PromiseMachine) -> None:
+def takeover_by_standby_of_unanswered_renewal(machine: PromiseMachine) -> None:
     machine.register_newcomer()
     machine.read_table("a")
     machine.renew(is_answered=False)
     machine.read_table("c")
-    machine.reaches.update(a=False, b=False)
+    machine.can_reach_table.update(a=False, b=False)
     for name in "ab":
         machine.read_table(name)
     machine.fail_over("c", is_asking=True)
 
 
-def machine_with(
+def make_machine(
     given: type[GivenPromises] = GivenPromises,
     received: type[ReceivedPromises] = ReceivedPromises,
 ) -> PromiseMachine:
@@ -344,15 +351,18 @@
 @pytest.mark.parametrize(
     ("play", "broken"),
     [
-        (change_after_promise, {"given": Careless}),
-        (change_sent_before_promise, {"given": Impatient}),
-        (change_by_newcomer, {"given": Hospitable}),
-        (change_by_a_member_not_asked, {"received": Majority}),
-        (takeover_by_a_guardian_of_a_lost_renewal, {"received": WithoutProposals}),
+        (change_after_promise, {"given": WritesDuringPromise}),
+        (change_sent_before_promise, {"given": IgnoresWritesInFlight}),
+        (change_by_joining_member, {"given": AlwaysAcknowledges}),
+        (change_by_member_without_request, {"received": OnePromiseSuffices}),
+        (
+            takeover_by_standby_of_unanswered_renewal,
+            {"received": WithoutProposedMembers},
+        ),
     ],
 )
 def test_the_machine_finds_a_missing_mechanism(play, broken) -> None:
-    """Guards against a machine that would not notice overlapping authority."""
-    play(machine_with())
+    """Guards against a state machine that does not detect overlapping authority."""
+    play(make_machine())
     with pytest.raises(AssertionError):
-        play(machine_with(**broken))
+        play(make_machine(**broken))
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -35,26 +35,26 @@
 )
 WORKERS = ("w0", "w1")
 WORKER = st.sampled_from(WORKERS)
-OFTEN = st.sampled_from([True, True, True, False])
+MOSTLY_TRUE = st.sampled_from([True, True, True, False])
 
 
-def test_silent_workers_hold_back_starts_until_their_leases_end() -> None:
-    """Guards against a task that starts again while its first worker runs it."""
-    taken_over = Reconciliation(WORKERS, 100, WORKER_LEASE_MS, DRIFT_MARGIN_MS)
-    end_ms = 100 + WORKER_LEASE_MS + DRIFT_MARGIN_MS
-    taken_over.confirm("w0")
-    assert taken_over.unknown(end_ms - 1) == {"w1"}
-    assert not taken_over.is_complete(end_ms - 1)
-    assert taken_over.lapsed(end_ms) == {"w1"}
-    assert taken_over.is_complete(end_ms)
+def test_unresponsive_workers_delay_starts_until_their_leases_end() -> None:
+    """Guards against a second start of a task that its first worker still runs."""
+    reconciliation = Reconciliation(WORKERS, 100, WORKER_LEASE_MS, DRIFT_MARGIN_MS)
+    lapsed_ms = 100 + WORKER_LEASE_MS + DRIFT_MARGIN_MS
+    reconciliation.confirm("w0")
+    assert reconciliation.unknown(lapsed_ms - 1) == {"w1"}
+    assert not reconciliation.is_complete(lapsed_ms - 1)
+    assert reconciliation.lapsed(lapsed_ms) == {"w1"}
+    assert reconciliation.is_complete(lapsed_ms)
 
 
-def test_confirmed_workers_and_empty_shards_hold_back_nothing() -> None:
-    """Guards against a takeover that waits for nobody."""
-    taken_over = Reconciliation(WORKERS, 0)
+def test_confirmed_workers_and_empty_shards_delay_no_starts() -> None:
+    """Guards against a takeover that waits although no worker is unconfirmed."""
+    reconciliation = Reconciliation(WORKERS, 0)
     for worker_id in WORKERS:
-        taken_over.confirm(worker_id)
-    assert taken_over.is_complete(1)
+        reconciliation.confirm(worker_id)
+    assert reconciliation.is_complete(1)
     assert Reconciliation((), 0).is_complete(0)
 
 
@@ -62,11 +62,11 @@
 class Owner:
     name: str
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    watch: ObservedLease = attrs.field(factory=ObservedLease)
-    taken_over: Reconciliation = attrs.field(factory=lambda: Reconciliation((), 0))
-    task_on: str | None = None
+    observed_lease: ObservedLease = attrs.field(factory=ObservedLease)
+    reconciliation: Reconciliation = attrs.field(factory=lambda: Reconciliation((), 0))
+    task_worker: str | None = None
     session_by_worker: dict[str, int] = attrs.field(factory=dict)
-    live: set[str] = attrs.field(factory=set)
+    confirmed_workers: set[str] = attrs.field(factory=set)
     granted_ms: dict[str, int] = attrs.field(factory=dict)
 
 
@@ -79,10 +79,10 @@
 
 
 class TakeoverMachine(RuleBasedStateMachine):
-    """Two owners and two workers that all want to run the same task.
+    """Two owners that start the same task on two workers.
 
-    The messages of one connection arrive in order, but a connection may deliver
-    long after its owner paused, lost the shard or dialled a new one.
+    The messages of one connection arrive in order, but they may arrive long after
+    the owner paused, lost the shard or opened a new connection.
     """
 
     fence_type = EpochFence
@@ -122,7 +122,7 @@
         self.now_ms += OWNERSHIP_LEASE_MS + DRIFT_MARGIN_MS
         self.take_over(is_current=False)
 
-    @rule(is_answered=OFTEN)
+    @rule(is_answered=MOSTLY_TRUE)
     def renew(self, is_answered: bool) -> None:
         owner = self.find_owner(is_current=True)
         is_owner = self.row.owner == owner.name
@@ -132,18 +132,20 @@
             if is_answered:
                 owner.lease.confirm(self.now_ms)
 
-    @rule(is_current=OFTEN)
+    @rule(is_current=MOSTLY_TRUE)
     def take_over(self, is_current: bool) -> None:
         owner = self.find_owner(is_current)
-        owner.watch.observe(self.row, self.version, self.now_ms)
-        if self.row.owner != owner.name and owner.watch.may_take_over(self.now_ms):
+        owner.observed_lease.observe(self.row, self.version, self.now_ms)
+        if self.row.owner != owner.name and owner.observed_lease.may_take_over(
+            self.now_ms
+        ):
             self.row = self.row.taken_over_by(owner.name, ())
             self.version += 1
             owner.lease = HeldLease(self.row.epoch)
             owner.lease.confirm(self.now_ms)
-            owner.taken_over = self.reconciliation_type(WORKERS, self.now_ms)
-            owner.task_on = None
-            owner.live.clear()
+            owner.reconciliation = self.reconciliation_type(WORKERS, self.now_ms)
+            owner.task_worker = None
+            owner.confirmed_workers.clear()
 
     @rule()
     def hand_over(self) -> None:
@@ -153,22 +155,22 @@
             self.row = self.row.released()
             self.version += 1
 
-    @rule(is_current=OFTEN, worker=WORKER, is_delivered=OFTEN)
+    @rule(is_current=MOSTLY_TRUE, worker=WORKER, is_delivered=MOSTLY_TRUE)
     def dial(self, is_current: bool, worker: str, is_delivered: bool) -> None:
         owner = self.find_owner(is_current)
         self.sessions += 1
         owner.session_by_worker[worker] = self.sessions
-        owner.live.discard(worker)
+        owner.confirmed_workers.discard(worker)
         self.send(owner, worker, "hello")
         if is_delivered:
             self.deliver(owner, worker)
             self.heartbeat(is_current, worker, is_delivered=True)
             self.start_task(is_current, worker, is_delivered=True)
 
-    @rule(is_current=OFTEN, worker=WORKER, is_delivered=OFTEN)
+    @rule(is_current=MOSTLY_TRUE, worker=WORKER, is_delivered=MOSTLY_TRUE)
     def heartbeat(self, is_current: bool, worker: str, is_delivered: bool) -> None:
         owner = self.find_owner(is_current)
-        self.lapse(worker)
+        self.stop_if_lapsed(worker)
         session = self.workers[worker].session_by_epoch.get(owner.lease.epoch)
         if session != owner.session_by_worker.get(worker):
             return
@@ -179,15 +181,17 @@
             if is_delivered:
                 self.deliver(owner, worker)
 
-    @rule(is_current=OFTEN, worker=WORKER, is_delivered=OFTEN)
+    @rule(is_current=MOSTLY_TRUE, worker=WORKER, is_delivered=MOSTLY_TRUE)
     def start_task(self, is_current: bool, worker: str, is_delivered: bool) -> None:
         owner = self.find_owner(is_current)
-        self.give_up_lapsed(owner)
-        is_allowed = owner.lease.holds(self.now_ms) and worker in owner.live
-        if not is_allowed or not owner.taken_over.is_complete(self.now_ms):
+        self.abandon_lapsed_task(owner)
+        is_allowed = (
+            owner.lease.holds(self.now_ms) and worker in owner.confirmed_workers
+        )
+        if not is_allowed or not owner.reconciliation.is_complete(self.now_ms):
             return
-        if owner.task_on is None:
-            owner.task_on = worker
+        if owner.task_worker is None:
+            owner.task_worker = worker
             self.send(owner, worker, "start")
             if is_delivered:
                 self.deliver(owner, worker)
@@ -195,15 +199,15 @@
     @rule()
     def finish_task(self) -> None:
         owner = self.find_owner(is_current=True)
-        if owner.task_on and self.workers[owner.task_on].is_running:
-            self.workers[owner.task_on].is_running = False
-            owner.task_on = None
+        if owner.task_worker and self.workers[owner.task_worker].is_running:
+            self.workers[owner.task_worker].is_running = False
+            owner.task_worker = None
 
-    def give_up_lapsed(self, owner: Owner) -> None:
-        worker = owner.task_on
+    def abandon_lapsed_task(self, owner: Owner) -> None:
+        worker = owner.task_worker
         if worker and is_lapsed(owner.granted_ms.get(worker, 0), self.now_ms):
-            owner.task_on = None
-            owner.live.discard(worker)
+            owner.task_worker = None
+            owner.confirmed_workers.discard(worker)
             owner.session_by_worker.pop(worker, None)
 
     def send(self, owner: Owner, worker: str, kind: str, seq: int = 0) -> None:
@@ -214,34 +218,34 @@
 
     def deliver(self, owner: Owner, worker: str) -> None:
         session = owner.session_by_worker.get(worker, 0)
-        self.drain(owner.name, worker, session)
+        self.deliver_all(owner.name, worker, session)
 
     @rule(pick=st.integers(0, 99))
     def deliver_from_any_connection(self, pick: int) -> None:
-        waiting = [key for key, channel in self.channels.items() if channel]
-        if waiting:
-            self.drain(*waiting[pick % len(waiting)])
+        pending = [key for key, channel in self.channels.items() if channel]
+        if pending:
+            self.deliver_all(*pending[pick % len(pending)])
 
-    def drain(self, name: str, worker: str, session: int) -> None:
+    def deliver_all(self, name: str, worker: str, session: int) -> None:
         channel = self.channels[name, worker, session]
         while channel:
             self.receive(self.owners[name], worker, *channel.popleft())
 
-    def lapse(self, worker: str) -> None:
+    def stop_if_lapsed(self, worker: str) -> None:
         if not self.workers[worker].lease.holds(self.now_ms):
             self.workers[worker].is_running = False
 
     def receive(
         self, owner: Owner, name: str, epoch: int, session: int, kind: str, seq: int
     ) -> None:
-        self.lapse(name)
+        self.stop_if_lapsed(name)
         worker = self.workers[name]
         if not worker.fence.admit(epoch):
             return
         if kind == "hello":
             last = worker.session_by_epoch.get(epoch, 0)
             worker.session_by_epoch[epoch] = max(last, session)
-            self.report(owner, name, epoch, session)
+            self.receive_inventory(owner, name, epoch, session)
         elif self.checks_sessions and session != worker.session_by_epoch.get(epoch):
             return
         elif kind == "grant":
@@ -249,44 +253,46 @@
         elif worker.lease.holds(self.now_ms):
             worker.is_running = True
 
-    def report(self, owner: Owner, worker: str, epoch: int, session: int) -> None:
+    def receive_inventory(
+        self, owner: Owner, worker: str, epoch: int, session: int
+    ) -> None:
         is_current = session == owner.session_by_worker.get(worker)
         if epoch != owner.lease.epoch or not is_current:
             return
-        owner.taken_over.confirm(worker)
-        owner.live.add(worker)
+        owner.reconciliation.confirm(worker)
+        owner.confirmed_workers.add(worker)
         owner.granted_ms[worker] = self.now_ms
         if self.workers[worker].is_running:
-            owner.task_on = worker
-        elif owner.task_on == worker:
-            owner.task_on = None
+            owner.task_worker = worker
+        elif owner.task_worker == worker:
+            owner.task_worker = None
 
     @invariant()
     def never_in_two_places(self) -> None:
-        places = [
+        running_on = [
             name
             for name, worker in self.workers.items()
             if worker.is_running and worker.lease.holds(self.now_ms)
         ]
-        assert len(places) <= 1
+        assert len(running_on) <= 1
 
 
-class OpenFence(EpochFence):
+class AdmitsEveryEpoch(EpochFence):
     def admit(self, epoch: int) -> bool:
         return True
 
 
-class Hasty(Reconciliation):
+class AlwaysComplete(Reconciliation):
     def is_complete(self, now_ms: int) -> bool:
         return True
 
 
 class WithoutFence(TakeoverMachine):
-    fence_type = OpenFence
+    fence_type = AdmitsEveryEpoch
 
 
 class WithoutReconciliation(TakeoverMachine):
-    reconciliation_type = Hasty
+    reconciliation_type = AlwaysComplete
 
 
 class WithoutSessions(TakeoverMachine):
@@ -294,12 +300,12 @@
 
 
 def test_a_task_never_runs_in_two_places() -> None:
-    """Guards against two owners that start one task twice (invariant 2)."""
+    """Guards against two owners that both start the same task (invariant 2)."""
     run_state_machine_as_test(TakeoverMachine, settings=MACHINE)
 
 
-def reach_only_one_worker(machine: TakeoverMachine) -> None:
-    running = machine.find_owner(is_current=True).task_on
+def take_over_with_one_worker_connected(machine: TakeoverMachine) -> None:
+    running = machine.find_owner(is_current=True).task_worker
     machine.fail_over()
     for worker in WORKERS:
         if worker != running:
@@ -308,13 +314,13 @@
 
 
 def test_the_machine_finds_a_takeover_that_does_not_wait() -> None:
-    """Guards against a machine that would not notice a task in two places."""
-    reach_only_one_worker(TakeoverMachine())
+    """Guards against a state machine that does not detect a task run twice."""
+    take_over_with_one_worker_connected(TakeoverMachine())
     with pytest.raises(AssertionError):
-        reach_only_one_worker(WithoutReconciliation())
+        take_over_with_one_worker_connected(WithoutReconciliation())
 
 
-def start_late_after(machine: TakeoverMachine, pause: str) -> None:
+def deliver_start_after_pause(machine: TakeoverMachine, pause: str) -> None:
     machine.finish_task()
     machine.start_task(is_current=True, worker="w0", is_delivered=False)
     if pause == "of the owner":
@@ -337,7 +343,7 @@
 def test_a_start_that_arrives_late_is_refused(
     broken: type[TakeoverMachine], pause: str
 ) -> None:
-    """Guards against a start of an earlier owner or of an earlier connection."""
-    start_late_after(TakeoverMachine(), pause)
+    """Guards against a start sent by a previous owner or on a previous connection."""
+    deliver_start_after_pause(TakeoverMachine(), pause)
     with pytest.raises(AssertionError):
-        start_late_after(broken(), pause)
+        deliver_start_after_pause(broken(), pause)
