--- a/marjoramgrade/decisions/membership.py
+++ b/marjoramgrade/decisions/membership.py
@@ -116,8 +116,8 @@
             instance_id: The instance that responded.
             asked_ms: Time just before the request was sent.
         """
-        previous = self._observation(instance_id)
-        if previous.failures and asked_ms > previous.failed_ms:
+        known = self._observation(instance_id)
+        if known.failures and asked_ms > known.failed_ms:
             self._update_observation(instance_id, failures=0)
 
     def mark_leaving(self, instance_id: str) -> None:
@@ -179,11 +179,11 @@
         failed_ms: int | None = None,
         is_leaving: bool | None = None,
     ) -> None:
-        previous = self._observation(instance_id)
+        known = self._observation(instance_id)
         self._observation_by_id[instance_id] = Observation(
-            previous.failures if failures is None else failures,
-            previous.failed_ms if failed_ms is None else failed_ms,
-            previous.is_leaving if is_leaving is None else is_leaving,
+            known.failures if failures is None else failures,
+            known.failed_ms if failed_ms is None else failed_ms,
+            known.is_leaving if is_leaving is None else is_leaving,
         )
 
 
--- a/marjoramgrade/decisions/promises.py
+++ b/marjoramgrade/decisions/promises.py
@@ -233,8 +233,8 @@
         """
         if reply.refusal is not None or not self.peers <= request.members:
             return
-        previous = self._promise_by_peer.get(peer)
-        if previous is None or previous.asked_ms < asked_ms:
+        known = self._promise_by_peer.get(peer)
+        if known is None or known.asked_ms < asked_ms:
             promise = ReceivedPromise(asked_ms, reply.config_version)
             self._promise_by_peer[peer] = promise
 
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -49,7 +49,7 @@
     name: str
     tracker: PromiseTracker
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    observed_lease: ObservedLease = attrs.field(factory=ObservedLease)
+    watch: ObservedLease = attrs.field(factory=ObservedLease)
     row: ShardRow = ShardRow("z.0")
     registered: tuple[str, ...] = ()
     registered_before: tuple[str, ...] = ()
@@ -126,7 +126,7 @@
             return
         if member.write is not None and member.write not in self.writes:
             self.end_write(member)
-        member.observed_lease.observe(self.row, self.row_version, self.now_ms)
+        member.watch.observe(self.row, self.row_version, self.now_ms)
         member.row = self.row
         member.registered = self.registered
         member.fleet.set_members(self.registered)
@@ -184,14 +184,14 @@
     def take_over(self, name: str, is_at_once: bool) -> None:
         member = self.members[name]
         row = member.row
-        if name != row.owner and member.observed_lease.may_take_over(self.now_ms):
+        if name != row.owner and member.watch.may_take_over(self.now_ms):
             allowed = may_take_over_shard(
                 name, row, member.registered, member.acknowledged_by
             )
-            new_row = row.taken_over_by(name, tuple(self.registered))
+            taken = row.taken_over_by(name, tuple(self.registered))
             if allowed:
-                member.zone.add_proposed_members(new_row.guardians)
-                write = Write(name, member.observed_lease.version, new_row)
+                member.zone.add_proposed_members(taken.guardians)
+                write = Write(name, member.watch.version, taken)
                 self.send(member, write, is_at_once)
 
     def send(self, member: Member, write: Write, is_at_once: bool) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -62,7 +62,7 @@
 class Owner:
     name: str
     lease: HeldLease = attrs.field(factory=lambda: HeldLease(0))
-    observed_lease: ObservedLease = attrs.field(factory=ObservedLease)
+    watch: ObservedLease = attrs.field(factory=ObservedLease)
     reconciliation: Reconciliation = attrs.field(factory=lambda: Reconciliation((), 0))
     task_worker: str | None = None
     session_by_worker: dict[str, int] = attrs.field(factory=dict)
@@ -135,10 +135,8 @@
     @rule(is_current=MOSTLY_TRUE)
     def take_over(self, is_current: bool) -> None:
         owner = self.find_owner(is_current)
-        owner.observed_lease.observe(self.row, self.version, self.now_ms)
-        if self.row.owner != owner.name and owner.observed_lease.may_take_over(
-            self.now_ms
-        ):
+        owner.watch.observe(self.row, self.version, self.now_ms)
+        if self.row.owner != owner.name and owner.watch.may_take_over(self.now_ms):
             self.row = self.row.taken_over_by(owner.name, ())
             self.version += 1
             owner.lease = HeldLease(self.row.epoch)
@@ -222,9 +220,9 @@
 
     @rule(pick=st.integers(0, 99))
     def deliver_from_any_connection(self, pick: int) -> None:
-        pending = [key for key, channel in self.channels.items() if channel]
-        if pending:
-            self.deliver_all(*pending[pick % len(pending)])
+        waiting = [key for key, channel in self.channels.items() if channel]
+        if waiting:
+            self.deliver_all(*waiting[pick % len(waiting)])
 
     def deliver_all(self, name: str, worker: str, session: int) -> None:
         channel = self.channels[name, worker, session]
