--- a/marjoramgrade/decisions/actions.py
+++ b/marjoramgrade/decisions/actions.py
@@ -1,4 +1,4 @@
-"""What a scheduler decides and what it is told."""
+"""Decisions of a scheduler and the task end statuses reported to it."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class EndStatus(enum.Enum):
-    """How a task ended, as far as the scheduler must know.
+    """How a task ended, in the distinctions that the scheduler needs.
 
     `STOPPED` follows a stop or a checkpoint. `REFUSED` means that the worker did
-    not start the task, `LOST` that the worker went away with it.
+    not start the task, `LOST` that the worker was lost while the task ran on it.
     """
 
     DONE = "done"
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class StartTask:
-    """Start a task on a worker, where its resources are reserved."""
+    """Start a task on a worker; its resources are already allocated there."""
 
     task: TaskId
     worker_id: str
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class StopTask:
-    """End a task on a worker; its resources stay reserved until it has ended."""
+    """End a task on a worker; its resources stay allocated until it has ended."""
 
     task: TaskId
     worker_id: str
--- a/marjoramgrade/decisions/queue_orders.py
+++ b/marjoramgrade/decisions/queue_orders.py
@@ -1,4 +1,4 @@
-"""The order in which teams are served, and the lanes that it chooses from."""
+"""Queue orders, which choose the next team, and the queues of each team."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 
 @attrs.define(eq=False)
 class ShapeQueue:
-    """Entries of one team and priority that need the same.
+    """Entries of one team and priority with the same shape.
+
+    The shape of an entry is its kind, resources, gang size and rack spreading.
 
     Attributes:
         entries: New work, oldest first.
-        requeued: Heap of `(queued_ms, number, entry)` of requeued work, which keeps
-            its place by the time at which it was first queued.
-        reason: Why the head was not started in the last round that tried it.
+        requeued: Heap of `(queued_ms, number, entry)` of requeued work, ordered by
+            the time at which the work was first queued.
+        reason: Why the last round that tried the head did not start it.
     """
 
     entries: deque[QueuedTask] = attrs.field(factory=deque)
@@ -37,22 +39,22 @@
         return len(self.entries) + len(self.requeued)
 
     def head(self) -> QueuedTask:
-        """Return the oldest entry of a lane that is not empty."""
-        return self.requeued[0][2] if self._is_returned_next() else self.entries[0]
+        """Return the oldest entry; the queue must not be empty."""
+        return self.requeued[0][2] if self._is_requeued_next() else self.entries[0]
 
     def pop(self) -> QueuedTask:
-        """Remove and return the oldest entry of a lane that is not empty."""
-        if self._is_returned_next():
+        """Remove and return the oldest entry; the queue must not be empty."""
+        if self._is_requeued_next():
             return heapq.heappop(self.requeued)[2]
         return self.entries.popleft()
 
     def retain(self, is_live: Callable[[QueuedTask], bool]) -> None:
-        """Drop all other entries."""
+        """Remove the entries for which `is_live` returns False."""
         self.entries = deque(filter(is_live, self.entries))
         self.requeued = [item for item in self.requeued if is_live(item[2])]
         heapq.heapify(self.requeued)
 
-    def _is_returned_next(self) -> bool:
+    def _is_requeued_next(self) -> bool:
         if not self.requeued or not self.entries:
             return not self.entries
         return self.requeued[0][0] <= self.entries[0].queued_ms
@@ -60,12 +62,13 @@
 
 @attrs.define(eq=False)
 class TeamQueue:
-    """Lanes of one team at one priority.
+    """The shape queues of one team at one priority.
 
     Attributes:
-        queue_by_shape: The lanes by what their entries need.
-        head_heap: Heap of `(queued_ms, number, key)`, one for each lane not parked.
-        skipped: Lanes that this round tried without success.
+        queue_by_shape: Shape queues by the shape of their entries.
+        head_heap: Heap of `(queued_ms, number, key)`, one item for each shape queue
+            that has not been skipped in this round.
+        skipped: Heap items of the shape queues whose head this round could not start.
     """
 
     queue_by_shape: dict[ShapeKey, ShapeQueue] = attrs.field(factory=dict)
@@ -78,14 +81,14 @@
 
     Attributes:
         is_stable: Whether the choice stays the same while nothing starts and the
-            chosen team still has a head, so that it need not be made again.
+            chosen team still has a head, so that the caller may reuse the choice.
     """
 
     is_stable: ClassVar[bool]
 
     @classmethod
     def from_config(cls, shares: TeamShares) -> QueueOrder:
-        """Return an order that may look at the use of the teams."""
+        """Return an order that may read the resource usage of the teams."""
         ...
 
     def pick(
@@ -114,7 +117,7 @@
 
     @classmethod
     def from_config(cls, shares: TeamShares) -> WeightedDrf:
-        """Return an order over these shares."""
+        """Return an order based on these shares."""
         return cls(shares)
 
     def pick(
@@ -126,7 +129,7 @@
 
 @QUEUE_ORDERS.register("fifo")
 class Fifo:
-    """Serves the team whose head was queued first; the baseline."""
+    """Serves the team whose head was queued first; a baseline for comparison."""
 
     is_stable: ClassVar[bool] = False
 
--- a/marjoramgrade/decisions/tasks.py
+++ b/marjoramgrade/decisions/tasks.py
@@ -1,4 +1,4 @@
-"""Queued and running tasks as the scheduler of a shard keeps them."""
+"""Queued and running tasks of a shard scheduler."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 
 @attrs.frozen(eq=False)
 class QueuedTask:
-    """A task, or a whole gang, that waits for room.
+    """A task, or a whole gang, that waits for capacity.
 
     Attributes:
         task: The task; for a gang, its first member.
-        team: The team that it counts against.
+        team: The team that the resources are charged to.
         kind: The kind of work.
-        priority: How soon it must start.
-        resources: What each member needs.
-        queued_ms: When it was first queued; requeueing keeps it.
-        not_before_ms: It must not start earlier.
-        attempts: Starts that ended in a failure so far.
-        gang_size: Number of members that start together.
-        members: Indices of the gang's tasks; empty for a single task.
+        priority: Scheduling priority; urgent work may preempt other work.
+        resources: Resources that each member needs.
+        queued_ms: Time at which the work was first queued, in ms; unchanged by
+            requeueing.
+        not_before_ms: Earliest start time, in ms.
+        attempts: Number of runs that failed so far.
+        gang_size: Number of members that start together; 1 for a single task.
+        members: Task indices of the gang; empty for a single task.
         spread_racks: Whether the members must use different racks.
     """
 
@@ -42,12 +43,12 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the work goes before all other work."""
+        """Whether the work is scheduled before all other work."""
         return self.priority is Priority.URGENT
 
     @property
     def total(self) -> Resources:
-        """What all members need together."""
+        """The resources that all members need together."""
         if self.gang_size == 1:
             return self.resources
         return self.resources.scaled(self.gang_size, 1)
@@ -63,7 +64,20 @@
 
 @attrs.frozen(eq=False)
 class RunningTask:
-    """A task that was started on a worker and has not ended."""
+    """A task that was started on a worker and has not ended.
+
+    Attributes:
+        task: The task.
+        team: The team that the resources are charged to.
+        kind: The kind of work.
+        priority: Scheduling priority.
+        resources: Resources allocated on the worker.
+        worker_id: The worker.
+        started_ms: Start time, in ms.
+        queued_ms: Time at which the work was first queued, in ms.
+        attempts: Number of runs that failed before this run.
+        spread_racks: Whether the members of its gang must use different racks.
+    """
 
     task: TaskId
     team: str
@@ -80,7 +94,7 @@
     def from_queued(
         cls, entry: QueuedTask, task: TaskId, worker_id: str, now_ms: int
     ) -> RunningTask:
-        """Return a member of an entry as it starts on a worker."""
+        """Return the running task for a member of an entry that starts now."""
         return cls(
             task,
             entry.team,
@@ -95,7 +109,7 @@
         )
 
     def to_queued(self, members: tuple[int, ...] = ()) -> QueuedTask:
-        """Return the entry that starts this task, or these members, once more."""
+        """Return a queue entry that restarts this task or these gang members."""
         index = members[0] if members else self.task.index
         return QueuedTask(
             TaskId(self.task.job_id, index),
@@ -112,7 +126,7 @@
 
 
 def queued_tasks_from(job: Job, now_ms: int) -> list[QueuedTask]:
-    """Return what to queue for the open tasks of a job: one entry for a gang."""
+    """Return the queue entries for the open tasks of a job; a gang has one entry."""
     spec = job.spec
     open_indices = tuple(
         index
@@ -146,7 +160,10 @@
 def running_task_from(
     job: Job, task: TaskId, worker_id: str, now_ms: int
 ) -> RunningTask:
-    """Return a task that a worker reports as running; when it started is unknown."""
+    """Return a task that a worker reports as running.
+
+    Its start and queueing times are unknown, so both are set to `now_ms`.
+    """
     spec = job.spec
     return RunningTask(
         task,
