--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -1,4 +1,4 @@
-"""One round of a shard's scheduler: what starts and stops now."""
+"""One scheduling round of a shard: decides which tasks start and stop."""
 
 from __future__ import annotations
 
@@ -26,39 +26,44 @@
 from marjoramgrade.model import Priority
 from marjoramgrade.resources import Resources
 
-# The bound for urgent work is 6.1 s: 1 s to find room by itself, 4 s for a
-# checkpoint, and the rest for the stop that follows and for the ticks between.
+# Urgent work must start within 6.1 s: 1 s of waiting for free capacity without
+# preemption, 4 s for a checkpoint, and the rest for the stop that follows and for
+# the ticks in between.
 URGENT_PREEMPTION_DELAY_MS = 1_000
 CHECKPOINT_TIMEOUT_MS = 4_000
-# A task that needs much room may keep it after this time even if its team is at its
-# share, because small tasks would take the room piece by piece.
+# After this time a large task may reserve capacity even if its team is at its share,
+# because small tasks would otherwise use each part of the capacity as it is freed.
 TASK_RESERVATION_DELAY_MS = 5_000
-# Reserved room is idle until it suffices, so only a part of the workers has any.
+# Reserved capacity is idle until there is enough of it, so at most one reservation
+# is made for this many workers.
 WORKERS_PER_RESERVATION = 8
-# A team this far above its share, as a part of the shard, starts nothing while room
-# is kept for a team below its share. Less would leave room idle for single tasks.
+# While any reservation of non-urgent work exists, a team that is above its share by
+# more than this fraction of the shard starts nothing. A smaller fraction would leave
+# capacity idle because of single tasks.
 SHARE_SLACK = 0.01
-# A plan looks at many workers, so a round in a full shard makes only a few.
+# A reservation plan examines many workers, so a round in a full shard computes only
+# a few plans.
 PLANS_PER_ROUND = 4
 PREEMPTION_REASON = "preempted for urgent work"
 
 
 @attrs.define
 class SchedulingRound:
-    """Starts what fits, urgent work first, and makes room for what must not wait.
+    """Starts the tasks that fit, urgent ones first, and reserves or preempts capacity.
 
     Attributes:
         state: The shard.
         now_ms: Time now.
-        budget: Starts that this round may decide; a gang may exceed it.
+        budget: Maximum number of starts in this round; a gang may exceed it.
     """
 
     state: ShardState
     now_ms: int
     budget: int
     _starts: list[StartTask] = attrs.field(factory=list)
-    # Room only shrinks within a round, so what needs as much does not fit either.
-    _misfits: list[Resources] = attrs.field(factory=list)
+    # Free capacity only shrinks within a round, so a request that needs at least as
+    # much as one of these does not fit either.
+    _unplaceable: list[Resources] = attrs.field(factory=list)
     _plans_left: int = PLANS_PER_ROUND
     _waiting_teams: tuple[str, ...] = ()
     # Mean level of the waiting teams, or None after a start has changed it.
@@ -75,26 +80,27 @@
             for reservation in self.state.reservations.list_yielding()
         ]
         self._waiting_teams = tuple(dict.fromkeys(waiting))
-        # Urgent work comes first, so that nothing started here is stopped here.
+        # Urgent work is scheduled first, so that no task is started and preempted in
+        # the same round.
         for priority in sorted(Priority, reverse=True):
-            self._start_claims(priority)
+            self._start_reserved(priority)
             for queue in self.state.queues:
                 self._start_queued(queue, priority)
         return [*self.state.pop_stops(), *self._starts]
 
     def _escalate_checkpoints(self) -> None:
-        """Stop tasks whose checkpoint takes too long."""
+        """Stop tasks whose checkpoint has exceeded its timeout."""
         checkpoints = self.state.checkpoints
         while checkpoints and checkpoints[0][0] <= self.now_ms:
             running = checkpoints.popleft()[1]
             if self.state.running.find(running.task) is running:
                 self.state.enqueue_stop(running, StopMode.STOP, PREEMPTION_REASON)
 
-    def _start_claims(self, priority: Priority) -> None:
+    def _start_reserved(self, priority: Priority) -> None:
         for reservation in self.state.reservations:
             if reservation.entry.priority is not priority:
                 continue
-            worker_ids = self._room_for_claim(reservation)
+            worker_ids = self._workers_for_reservation(reservation)
             if worker_ids is None:
                 continue
             if not self.state.may_start(
@@ -107,11 +113,11 @@
             self.state.reservations.remove(reservation)
             self._start(reservation.entry, worker_ids)
 
-    def _room_for_claim(self, reservation: Reservation) -> list[str] | None:
-        """Return where the work of a claim can start now, or None."""
+    def _workers_for_reservation(self, reservation: Reservation) -> list[str] | None:
+        """Return the workers on which reserved work can start now, or None."""
         if reservation.is_ready(self.state.pool):
             return list(reservation.worker_ids)
-        # Room may appear elsewhere while a checkpoint is written.
+        # Other workers may gain free capacity while a checkpoint is written.
         return self._place(reservation.entry) if reservation.entry.is_urgent else None
 
     def _start_queued(self, queue: TaskQueue, priority: Priority) -> None:
@@ -122,7 +128,7 @@
             if not self.state.may_start(entry.team, entry.total):
                 queue.skip_shape(entry, WAITING_AT_LIMIT)
                 continue
-            if not entry.is_urgent and self._must_give_way(entry.team):
+            if not entry.is_urgent and self._must_yield(entry.team):
                 queue.skip_team(entry, WAITING_ABOVE_SHARE)
                 continue
             worker_ids = self._place_new(entry)
@@ -130,15 +136,15 @@
                 queue.dequeue(entry)
                 self._start(entry, worker_ids)
                 continue
-            reservation = self._claim_for(entry)
+            reservation = self._reservation_for(entry)
             if reservation is not None:
                 queue.dequeue(entry)
                 self.state.reservations.add(reservation)
             else:
                 queue.skip_shape(entry, WAITING_FOR_CAPACITY)
 
-    def _must_give_way(self, team: str) -> bool:
-        """Return whether room that becomes free is for teams below their share."""
+    def _must_yield(self, team: str) -> bool:
+        """Return whether a team must leave capacity to teams below their share."""
         if not self.state.reservations.yielding_count():
             return False
         return self._excess_of(team) > SHARE_SLACK
@@ -152,11 +158,11 @@
         return self.state.shares.excess_of(team, self._mean_level)
 
     def _place_new(self, entry: QueuedTask) -> list[str] | None:
-        if any(misfit.fits(entry.resources) for misfit in self._misfits):
+        if any(request.fits(entry.resources) for request in self._unplaceable):
             return None
         worker_ids = self._place(entry)
         if worker_ids is None and entry.gang_size == 1 and not entry.is_urgent:
-            self._misfits.append(entry.resources)
+            self._unplaceable.append(entry.resources)
         return worker_ids
 
     def _place(self, entry: QueuedTask) -> list[str] | None:
@@ -178,12 +184,18 @@
         return self._place_over_reservations(entry) if entry.is_urgent else None
 
     def _place_over_reservations(self, entry: QueuedTask) -> list[str] | None:
-        """Return a worker with room for an urgent task if a reservation ends."""
+        """Place an urgent task on capacity reserved for non-urgent work.
+
+        The reservations of non-urgent work on the chosen worker are cancelled.
+
+        Returns:
+            The worker id in a list, or None if no such worker has enough capacity.
+        """
         avoid_workers = self.state.health.avoided(self.now_ms)
         for reservation in self.state.reservations.list_yielding():
             for worker_id in reservation.worker_ids:
-                room = self.state.pool.available_after_yield(worker_id)
-                if worker_id not in avoid_workers and entry.resources.fits(room):
+                capacity = self.state.pool.available_after_yield(worker_id)
+                if worker_id not in avoid_workers and entry.resources.fits(capacity):
                     self.state.cancel_yielding_reservations_on(worker_id, self.now_ms)
                     return [worker_id]
         return None
@@ -192,8 +204,8 @@
         self._mean_level = None
         self._starts.extend(self.state.start(entry, worker_ids, self.now_ms))
 
-    def _claim_for(self, entry: QueuedTask) -> Reservation | None:
-        """Return a claim for an entry that has waited too long, or None."""
+    def _reservation_for(self, entry: QueuedTask) -> Reservation | None:
+        """Return a reservation for an entry that has waited too long, or None."""
         waited_ms = self.now_ms - max(entry.queued_ms, entry.not_before_ms)
         if entry.is_urgent and waited_ms >= URGENT_PREEMPTION_DELAY_MS:
             reservation = self._preempt_for(entry)
@@ -204,12 +216,13 @@
         return self._reserve_for(entry)
 
     def _may_reserve(self, entry: QueuedTask, waited_ms: int) -> bool:
-        """Return whether room may be kept for an entry as it becomes free."""
+        """Return whether capacity may be reserved for an entry as it becomes free."""
         if not self._plans_left:
             return False
         reservations = self.state.reservations
         if entry.gang_size > 1:
-            # Two gangs must not each keep half of what the other needs.
+            # Prevents a deadlock of two gangs that each reserve half of the capacity
+            # that the other needs.
             return (
                 waited_ms >= GANG_RESERVATION_DELAY_MS
                 and not reservations.has_yielding_gang()
@@ -242,16 +255,21 @@
         return Reservation(entry, tuple(worker_ids), WAITING_FOR_RESERVATION)
 
     def _preempt_for(self, entry: QueuedTask) -> Reservation | None:
-        """Make room for an urgent entry by stopping running tasks, or return None."""
+        """Preempt running tasks for an urgent entry.
+
+        Returns:
+            The reservation, or None if preemption cannot free enough capacity.
+        """
         state = self.state
         worker_ids: list[str] = []
         victims: list[RunningTask] = []
         racks: set[str] = set()
         for _ in range(entry.gang_size):
-            eviction = self._room_for_member(entry, frozenset(racks))
+            eviction = self._eviction_for_member(entry, frozenset(racks))
             if eviction is None:
                 break
-            # Marked and held at once, so that the next member counts on neither.
+            # Marks the victims and holds the capacity at once, so that the next member
+            # is planned on neither.
             for victim in eviction.victims:
                 state.running.record_stop_request(
                     victim, StopRequest(True, PREEMPTION_REASON)
@@ -273,7 +291,7 @@
             state.cancel_yielding_reservations_on(worker_id, self.now_ms)
         return Reservation(entry, tuple(worker_ids), WAITING_FOR_PREEMPTION)
 
-    def _room_for_member(
+    def _eviction_for_member(
         self, entry: QueuedTask, avoid_racks: frozenset[str]
     ) -> Eviction | None:
         state = self.state
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of one shard: queue, placement, preemption and health together."""
+"""Scheduler of one shard: combines queues, placement, preemption and health."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
 }
 
 
-def _always(team: str, resources: Resources) -> bool:
+def _allow_all(team: str, resources: Resources) -> bool:
     return True
 
 
 class Scheduler:
     """Decides what starts and stops on the workers of one shard.
 
-    Nothing here waits or sends: each call changes the state in memory, and `step`
-    returns what the owner must tell the workers.
+    The scheduler never blocks and sends nothing: each call changes the state in
+    memory, and `step` returns the decisions that its owner sends to the workers.
     """
 
     def __init__(self, state: ShardState) -> None:
@@ -60,15 +60,16 @@
     def from_config(
         cls,
         policies_by_kind: Mapping[JobKind, PolicyNames],
-        may_start: MayStart = _always,
+        may_start: MayStart = _allow_all,
     ) -> Scheduler:
-        """Return a scheduler with the policies that settings name.
+        """Return a scheduler with the policies named in the settings.
 
         Args:
             policies_by_kind: Names of the policies of each kind of work.
-            may_start: Returns whether a team may use an amount in addition to
-                `shares.use_of(team)`. It is asked just before each start and
-                changes nothing, as the amount is charged to the shares at once.
+            may_start: Returns whether a team may use resources in addition to
+                `shares.usage_of(team)`. It is called just before each start and
+                must not record the usage, because the scheduler charges the
+                resources to the shares immediately.
 
         Raises:
             UnknownNameError: If a policy is not registered.
@@ -77,17 +78,17 @@
 
     @property
     def pool(self) -> WorkerPool:
-        """The workers; to be read only."""
+        """The workers; read-only for callers."""
         return self._state.pool
 
     @property
     def running(self) -> RunningTasks:
-        """The running tasks; to be read only."""
+        """The running tasks; read-only for callers."""
         return self._state.running
 
     @property
     def shares(self) -> TeamShares:
-        """What each team uses; to be read only."""
+        """The resource usage of each team; read-only for callers."""
         return self._state.shares
 
     @property
@@ -97,11 +98,11 @@
 
     @property
     def queued_count(self) -> int:
-        """The number of queued tasks, those with room kept for them included."""
-        claimed = sum(
+        """The number of queued tasks, including those with a reservation."""
+        reserved = sum(
             reservation.entry.gang_size for reservation in self._state.reservations
         )
-        return claimed + sum(len(queue) for queue in self._state.queues)
+        return reserved + sum(len(queue) for queue in self._state.queues)
 
     def queued_count_of(self, team: str) -> int:
         """Return the number of queued tasks of a team."""
@@ -112,7 +113,7 @@
         return self._state.find_queued(task)
 
     def set_teams(self, teams: Iterable[Team]) -> None:
-        """Take over the weights and queue bounds of the teams."""
+        """Apply the weights and queue bounds of the teams."""
         teams = list(teams)
         self.shares.set_weights({team.name: team.share for team in teams})
         for queue in self._state.queues:
@@ -120,7 +121,7 @@
                 queue.set_bound(team.name, team.queue_bound)
 
     def set_blocked_team(self, team: str, reason: str = WAITING_AT_LIMIT) -> None:
-        """Start nothing more of a team; an empty reason ends this."""
+        """Block further starts of a team; an empty reason unblocks it."""
         for queue in self._state.queues:
             queue.set_blocked(team, reason)
         if reason:
@@ -139,10 +140,10 @@
         self._state.queue_of(entry).push(entry, now_ms)
 
     def cancel(self, task: TaskId) -> bool:
-        """Cancel one task; a gang that waits is cancelled whole.
+        """Cancel one task; a waiting gang is cancelled as a whole.
 
         Returns:
-            Whether the task was known. A running task ends with a `StopTask`.
+            Whether the task was known. A running task is stopped by a `StopTask`.
         """
         self._state.requeue_reason_by_task.pop(task, None)
         if any(queue.cancel(task) for queue in self._state.queues):
@@ -160,7 +161,7 @@
         return running is not None
 
     def cancel_job(self, job_id: str) -> int:
-        """Cancel every task of a job and return their number."""
+        """Cancel every task of a job and return the number of tasks."""
         cancelled = sum(queue.cancel_job(job_id) for queue in self._state.queues)
         cancelled += self._state.gangs.cancel_job(job_id)
         for reservation in self._state.reservations.of_job(job_id):
@@ -172,12 +173,12 @@
         return cancelled
 
     def stop(self, task: TaskId, reason: str, *, is_requeued: bool) -> bool:
-        """Stop a running task for a reason of the caller's.
+        """Stop a running task for a reason that the caller gives.
 
         Args:
             task: The task.
-            reason: Why, for operators.
-            is_requeued: Whether it goes back to the queue when it has ended.
+            reason: Reason shown to operators.
+            is_requeued: Whether the task is requeued after it has ended.
 
         Returns:
             Whether the task is running.
@@ -188,17 +189,17 @@
         return running is not None
 
     def add_worker(self, node: WorkerNode) -> None:
-        """Take a worker into the shard, or take it back after a drain."""
+        """Add a worker to the shard, or make a drained worker schedulable again."""
         self.pool.add(node)
         self.shares.set_total(self.pool.total_capacity)
 
     def drain_worker(self, worker_id: str, now_ms: int) -> None:
-        """Start nothing more on a worker; its tasks go on."""
+        """Start no more tasks on a worker; its running tasks continue."""
         self.pool.drain(worker_id)
         self._state.cancel_reservations_on(worker_id, now_ms)
 
     def worker_lost(self, worker_id: str, now_ms: int) -> list[TaskId]:
-        """Remove a worker whose tasks have certainly ended, and requeue them.
+        """Remove a worker whose tasks are known to have ended, and requeue them.
 
         Returns:
             The tasks that were running there.
@@ -213,17 +214,17 @@
         return [running.task for running in lost]
 
     def adopt(self, running: RunningTask) -> None:
-        """Take over a task that a worker reports as running.
+        """Add a task that a worker reports as running.
 
-        If the task is queued here, it is queued no longer. The other members of a
-        queued gang start again once the reported ones have ended.
+        A queued entry of the task is removed. The other members of a queued gang
+        start again once the reported members have ended.
 
         Raises:
-            DuplicateTaskError: If the task runs already.
-            OvercommitError: If the worker has no room for it.
+            DuplicateTaskError: If the task is already running.
+            OvercommitError: If the worker lacks free capacity for the task.
         """
         if self._state.running.find(running.task) is not None:
-            raise DuplicateTaskError(f"{running.task} runs already")
+            raise DuplicateTaskError(f"{running.task} is already running")
         self.pool.allocate(running.worker_id, running.resources)
         reservation = self._state.reservations.find(running.task)
         if reservation is not None:
@@ -238,51 +239,51 @@
             self._state.gangs.record_adoption(running, entry.members if entry else ())
 
     def task_ended(
-        self, task: TaskId, ending: EndStatus, now_ms: int
+        self, task: TaskId, end_status: EndStatus, now_ms: int
     ) -> QueuedTask | None:
-        """Take note of a task that has ended on its worker.
+        """Record that a task has ended on its worker.
 
         A task that was stopped, refused or lost is requeued without counting an
-        attempt. An end that is not of a running task is ignored.
+        attempt. The end of a task that is not running here is ignored.
 
         Returns:
-            For work that failed by itself, the entry with the attempt counted: the
-            caller submits it again or gives it up. Otherwise None.
+            The entry with the attempt counted if the work failed without having
+            been stopped; the caller resubmits or abandons it. Otherwise None.
         """
         running = self._state.running.find(task)
         if running is None:
             return None
         stopping = self._state.remove_running(running)
-        self._note_health(running, ending, stopping, now_ms)
+        self._record_health(running, end_status, stopping, now_ms)
         is_dropped = stopping is not None and not stopping.is_requeued
-        must_restart = ending is not EndStatus.DONE and not is_dropped
-        has_failed = ending is EndStatus.FAILED and stopping is None
+        must_restart = end_status is not EndStatus.DONE and not is_dropped
+        has_failed = end_status is EndStatus.FAILED and stopping is None
         if running.kind is JobKind.GANG:
             return self._member_ended(running, must_restart, has_failed, now_ms)
         if not must_restart:
             return None
         if has_failed:
             return _with_attempt(running.to_queued())
-        note = f"requeued: {stopping.reason}" if stopping else ""
-        note = note or REQUEUE_REASON_BY_END_STATUS[ending]
-        self._state.requeue(running.to_queued(), now_ms, note)
+        reason = f"requeued: {stopping.reason}" if stopping else ""
+        reason = reason or REQUEUE_REASON_BY_END_STATUS[end_status]
+        self._state.requeue(running.to_queued(), now_ms, reason)
         return None
 
     def step(self, now_ms: int, budget: int) -> list[Decision]:
         """Decide what starts and stops now.
 
         Args:
-            now_ms: Time now.
-            budget: Starts to decide at most; a gang may exceed it.
+            now_ms: Current time.
+            budget: Maximum number of starts; a gang may exceed it.
         """
         return SchedulingRound(self._state, now_ms, budget).run()
 
     def pop_stops(self) -> list[StopTask]:
-        """Return the stops that are due, also while nothing may start."""
+        """Return the pending stops; unlike `step`, this starts nothing."""
         return self._state.pop_stops()
 
     def reason_of(self, task: TaskId) -> str:
-        """Return, for operators, why a task is where it is; empty if unknown."""
+        """Return the reason for a task's state, for operators; empty if unknown."""
         state = self._state
         running = state.running.find(task)
         if running is not None:
@@ -294,7 +295,7 @@
         if reservation is not None:
             return reservation.reason
         if state.gangs.is_awaiting_restart(task):
-            return "waiting: the rest of its gang has not ended yet"
+            return "waiting: other members of its gang have not ended yet"
         entry = state.find_queued(task)
         if entry is None:
             return ""
@@ -315,17 +316,17 @@
         self._state.requeue(end.entry, now_ms, "requeued: a member of the gang ended")
         return None
 
-    def _note_health(
+    def _record_health(
         self,
         running: RunningTask,
-        ending: EndStatus,
+        end_status: EndStatus,
         stopping: StopRequest | None,
         now_ms: int,
     ) -> None:
         health, job_id = self._state.health, running.task.job_id
-        if ending is EndStatus.DONE:
+        if end_status is EndStatus.DONE:
             health.record_success(running.worker_id, job_id, now_ms)
-        elif stopping is None and ending in (EndStatus.FAILED, EndStatus.REFUSED):
+        elif stopping is None and end_status in (EndStatus.FAILED, EndStatus.REFUSED):
             health.record_failure(running.worker_id, job_id, now_ms)
         else:
             health.record_inconclusive_end(running.worker_id, now_ms)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -1,4 +1,4 @@
-"""The state that the scheduler of one shard keeps, and its two basic changes."""
+"""State of the scheduler of one shard, and the operations that change it."""
 
 from __future__ import annotations
 
@@ -24,17 +24,23 @@
 
 WAITING_AT_LIMIT = "waiting: team at its upper limit"
 WAITING_FOR_CAPACITY = "waiting: no worker has room"
-WAITING_ABOVE_SHARE = "waiting: team is above its share, others go first"
-WAITING_FOR_PREEMPTION = "waiting: running work is stopped to make room"
+WAITING_ABOVE_SHARE = "waiting: team is above its share, other teams are served first"
+WAITING_FOR_PREEMPTION = "waiting: running work is being stopped to free capacity"
 WAITING_FOR_RESERVATION = "waiting: room is kept as it becomes free"
-WAITING_IN_QUEUE = "waiting: other work goes first"
+WAITING_IN_QUEUE = "waiting: other work is scheduled first"
 
 MayStart = Callable[[str, Resources], bool]
 
 
 @attrs.frozen
 class KindPolicy:
-    """The policies of one kind of work."""
+    """Queue and policies of one kind of work.
+
+    Attributes:
+        queue: The queue; kinds with the same queue order share it.
+        placement: Chooses the worker of a task.
+        preemption: Chooses the running tasks that urgent work preempts.
+    """
 
     queue: TaskQueue
     placement: Placement
@@ -46,7 +52,7 @@
 
     Args:
         policies_by_kind: Names of the policies of each kind of work.
-        may_start: Returns whether a team may use a further amount.
+        may_start: Returns whether a team may use further resources.
     """
 
     def __init__(
@@ -74,7 +80,7 @@
         return self._queue_by_order.values()
 
     def queue_of(self, entry: QueuedTask) -> TaskQueue:
-        """Return the queue of an entry's kind."""
+        """Return the queue for the kind of an entry."""
         return self.policy_by_kind[entry.kind].queue
 
     def find_queued(self, task: TaskId) -> QueuedTask | None:
@@ -86,29 +92,29 @@
         return None
 
     def has_left_queue(self, task: TaskId) -> bool:
-        """Return whether a task runs, is about to, or waits for its gang to end."""
+        """Return whether a task runs, is reserved for, or waits for its gang to end."""
         return (
             self.running.find(task) is not None
             or self.reservations.find(task) is not None
             or self.gangs.is_awaiting_restart(task)
         )
 
-    def requeue(self, entry: QueuedTask, now_ms: int, note: str) -> None:
+    def requeue(self, entry: QueuedTask, now_ms: int, reason: str) -> None:
         """Put accepted work back into its queue.
 
         Args:
             entry: The work.
-            now_ms: Time now.
-            note: Why, for operators.
+            now_ms: Current time.
+            reason: Reason shown to operators.
         """
         self.queue_of(entry).push(entry, now_ms, is_requeue=True)
         for task in entry.iter_tasks():
-            self.requeue_reason_by_task[task] = note
+            self.requeue_reason_by_task[task] = reason
 
     def start(
         self, entry: QueuedTask, worker_ids: Iterable[str], now_ms: int
     ) -> list[StartTask]:
-        """Reserve room for an entry that is no longer queued, and start it."""
+        """Allocate resources for an entry that is no longer queued, and start it."""
         starts = []
         for task, worker_id in zip(entry.iter_tasks(), worker_ids, strict=True):
             self.pool.allocate(worker_id, entry.resources)
@@ -118,7 +124,7 @@
         return starts
 
     def add_running(self, running: RunningTask) -> None:
-        """Count a task, whose room is reserved, as running."""
+        """Record a task, whose resources are already allocated, as running."""
         self.requeue_reason_by_task.pop(running.task, None)
         self.running.add(running)
         self.shares.charge(running.team, running.resources)
@@ -126,15 +132,19 @@
             self.gangs.record_start(running)
 
     def remove_running(self, running: RunningTask) -> StopRequest | None:
-        """Release the room of a task that has ended."""
+        """Release the resources of a task that has ended.
+
+        Returns:
+            The stop request of the task, or None.
+        """
         self.pool.release(running.worker_id, running.resources)
         self.shares.refund(running.team, running.resources)
         return self.running.remove(running)
 
     def stop(self, running: RunningTask, mode: StopMode, stopping: StopRequest) -> None:
-        """Tell a running task to end.
+        """Request that a running task stop.
 
-        A task that is to be dropped is never turned back into one to requeue.
+        A stop without requeueing is never replaced by a stop with requeueing.
         """
         known = self.running.stop_request_of(running.task)
         if known is not None and (stopping.is_requeued or not known.is_requeued):
@@ -143,15 +153,15 @@
         self.enqueue_stop(running, mode, stopping.reason)
 
     def enqueue_stop(self, running: RunningTask, mode: StopMode, reason: str) -> None:
-        """Let the next decisions contain a stop."""
+        """Add a stop to the next decisions."""
         stop = StopTask(running.task, running.worker_id, mode, reason)
         self._pending_stops.append((running, stop))
 
     def pop_stops(self) -> list[StopTask]:
-        """Return the stops that were not returned yet.
+        """Return the stops that have not been returned yet.
 
-        A task may end before its stop is sent and even run again elsewhere, so only
-        stops of the same run are returned.
+        A task may end before its stop is sent, and may even run again elsewhere, so
+        a stop is returned only if the run that it was meant for is still running.
         """
         stops = [
             stop
@@ -162,37 +172,40 @@
         return stops
 
     def cancel_reservation(
-        self, reservation: Reservation, now_ms: int, note: str
+        self, reservation: Reservation, now_ms: int, reason: str
     ) -> None:
-        """Put work for which room is kept back into its queue."""
+        """Remove a reservation and requeue its work."""
         self.reservations.remove(reservation)
-        self.requeue(reservation.entry, now_ms, note)
+        self.requeue(reservation.entry, now_ms, reason)
 
     def cancel_reservations_on(self, worker_id: str, now_ms: int) -> None:
-        """Drop the claims to room on a worker that takes no new work."""
+        """Cancel the reservations on a worker that accepts no new work."""
         for reservation in self.reservations.of_worker(worker_id):
             self.cancel_reservation(
-                reservation, now_ms, "requeued: its worker went away"
+                reservation, now_ms, "requeued: its worker became unavailable"
             )
 
     def cancel_yielding_reservations_on(self, worker_id: str, now_ms: int) -> None:
-        """Let the reservations that keep room on a worker give way."""
+        """Cancel the reservations of non-urgent work on a worker."""
         for reservation in self.reservations.of_worker(worker_id):
             if not reservation.entry.is_urgent:
                 self.cancel_reservation(
-                    reservation, now_ms, "requeued: other work went first"
+                    reservation,
+                    now_ms,
+                    "requeued: its reservation was cancelled for other work",
                 )
 
-    def cancel_reservations_of(self, team: str, note: str) -> None:
-        """Drop the claims of a team that must not start anything."""
+    def cancel_reservations_of(self, team: str, reason: str) -> None:
+        """Cancel the reservations of a team that must not start anything."""
         for reservation in self.reservations:
             if reservation.entry.team == team:
                 self.cancel_reservation(
-                    reservation, reservation.entry.not_before_ms, note
+                    reservation, reservation.entry.not_before_ms, reason
                 )
 
     def _policy_from(self, policies: PolicyNames) -> KindPolicy:
-        # Kinds with the same order share a queue, so that shares hold across kinds.
+        # Kinds with the same queue order share a queue, so that the shares of the teams
+        # apply across kinds.
         queue = self._queue_by_order.get(policies.queue_order)
         if queue is None:
             order = QUEUE_ORDERS.get(policies.queue_order)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -19,7 +19,7 @@
     return TaskQueue(QUEUE_ORDERS.get(order).from_config(shares or TeamShares()))
 
 
-def drain(queue: TaskQueue, priority: Priority = Priority.NORMAL) -> list[str]:
+def dequeue_all(queue: TaskQueue, priority: Priority = Priority.NORMAL) -> list[str]:
     taken = []
     while entry := queue.peek(priority):
         queue.dequeue(entry)
@@ -28,7 +28,7 @@
 
 
 def test_the_team_furthest_below_its_share_goes_first() -> None:
-    """Guards against an order that ignores use and weight."""
+    """Guards against an order that ignores usage and weight."""
     shares = TeamShares()
     shares.set_total(amount(10))
     shares.set_weights({"a": 1, "b": 3})
@@ -37,7 +37,7 @@
     queue = queue_of(shares=shares)
     queue.push(queued("j-a", team="a"), 0)
     queue.push(queued("j-b", team="b"), 0)
-    assert drain(queue) == ["j-b/0", "j-a/0"]
+    assert dequeue_all(queue) == ["j-b/0", "j-a/0"]
 
 
 def test_fifo_takes_the_oldest_head_of_any_team() -> None:
@@ -45,11 +45,11 @@
     queue = queue_of("fifo")
     for at_ms, team in ((5, "a"), (1, "b"), (3, "a")):
         queue.push(queued(f"j-{at_ms}", team=team, at_ms=at_ms, cores=at_ms), 10)
-    assert drain(queue) == ["j-1/0", "j-3/0", "j-5/0"]
+    assert dequeue_all(queue) == ["j-1/0", "j-3/0", "j-5/0"]
 
 
-def test_a_parked_lane_holds_back_neither_other_shapes_nor_other_teams() -> None:
-    """Guards against a large head that stops everything behind it."""
+def test_a_skipped_shape_blocks_neither_other_shapes_nor_other_teams() -> None:
+    """Guards against head-of-line blocking by a large task."""
     queue = queue_of()
     queue.push(queued("large", cores=9), 0)
     queue.push(queued("small", at_ms=1), 1)
@@ -57,13 +57,13 @@
     head = queue.peek(Priority.NORMAL)
     assert head is not None
     queue.skip_shape(head, "waiting: no worker has room")
-    assert drain(queue) == ["small/0", "other/0"]
+    assert dequeue_all(queue) == ["small/0", "other/0"]
     assert queue.reason_of(head) == "waiting: no worker has room"
     queue.begin_round(3)
     assert queue.peek(Priority.NORMAL) is head
 
 
-def test_a_round_tries_a_bounded_number_of_lanes_of_one_team() -> None:
+def test_a_round_tries_a_bounded_number_of_shapes_of_one_team() -> None:
     """Guards against a round whose cost grows with the number of shapes."""
     queue = queue_of()
     for cores in range(1, 100):
@@ -86,27 +86,29 @@
     assert queue.length_of("a") == 4
     assert queue.cancel_job("j") == 3
     assert queue.length_of("a") == 1
-    assert drain(queue) == ["k/0"]
+    assert dequeue_all(queue) == ["k/0"]
 
 
 def test_tombstones_are_swept_while_their_team_is_blocked() -> None:
-    """Guards against memory that grows with cancellations behind a blocked head."""
+    """Guards against memory that grows with cancellations in a blocked team."""
     queue = queue_of()
     queue.set_blocked("a", "blocked")
     for index in range(3 * SWEEP_MINIMUM):
         queue.push(queued("j", index), 0)
         queue.cancel(TaskId("j", index))
-    lanes = queue._tier_by_priority[Priority.NORMAL].queue_by_team["a"].queue_by_shape
-    assert sum(len(lane) for lane in lanes.values()) <= SWEEP_MINIMUM + 1
+    shape_queues = (
+        queue._tier_by_priority[Priority.NORMAL].queue_by_team["a"].queue_by_shape
+    )
+    assert sum(len(each) for each in shape_queues.values()) <= SWEEP_MINIMUM + 1
 
 
 def test_a_cancelled_and_resubmitted_task_is_returned_once() -> None:
-    """Guards against a tombstone that comes back to life with the same id."""
+    """Guards against a tombstone that becomes live again with the same id."""
     queue = queue_of()
     queue.push(queued("j"), 0)
     queue.cancel_job("j")
     queue.push(queued("j", at_ms=1), 1)
-    assert drain(queue) == ["j/0"]
+    assert dequeue_all(queue) == ["j/0"]
     assert len(queue) == 0
 
 
@@ -122,7 +124,7 @@
 
 
 def test_a_task_is_queued_at_most_once() -> None:
-    """Guards against two copies of one task."""
+    """Guards against two entries for one task."""
     queue = queue_of()
     queue.push(queued("j"), 0)
     with pytest.raises(DuplicateTaskError):
@@ -130,30 +132,30 @@
 
 
 def test_a_blocked_team_is_skipped_until_it_is_unblocked() -> None:
-    """Guards against work above a limit, and against a team blocked for ever."""
+    """Guards against work above a limit, and against a team that stays blocked."""
     queue = queue_of()
     queue.push(queued("j"), 0)
     queue.set_blocked("a", "waiting: team at its upper limit")
     queue.begin_round(1)
     assert queue.peek(Priority.NORMAL) is None
     queue.set_blocked("a", "")
-    assert drain(queue) == ["j/0"]
+    assert dequeue_all(queue) == ["j/0"]
 
 
 def test_a_delayed_task_is_returned_when_it_is_due() -> None:
-    """Guards against a retry that ignores its back-off or is forgotten."""
+    """Guards against a retry that ignores its back-off or is lost."""
     queue = queue_of()
     queue.push(queued("j", not_before_ms=50), 0)
     queue.begin_round(49)
     assert queue.peek(Priority.NORMAL) is None
     queue.begin_round(50)
-    assert drain(queue) == ["j/0"]
+    assert dequeue_all(queue) == ["j/0"]
 
 
 def test_requeued_work_keeps_its_place() -> None:
-    """Guards against preempted work that starts over at the end of its queue."""
+    """Guards against preempted work that is requeued at the end of its queue."""
     queue = queue_of()
     queue.push(queued("new", at_ms=5), 5)
     queue.push(queued("old", 0, at_ms=1), 6, is_requeue=True)
     queue.push(queued("old", 1, at_ms=2), 6, is_requeue=True)
-    assert drain(queue) == ["old/0", "old/1", "new/0"]
+    assert dequeue_all(queue) == ["old/0", "old/1", "new/0"]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -10,8 +10,8 @@
 from tests.scheduling import node, queued, scheduler_of, started, stopped
 
 
-def test_a_queued_task_starts_once_and_its_end_frees_the_room() -> None:
-    """Guards against a second start of one task and against leaked room."""
+def test_a_queued_task_starts_once_and_its_end_frees_its_resources() -> None:
+    """Guards against a second start of one task and against leaked resources."""
     scheduler = scheduler_of(node("w-0", cores=1))
     scheduler.submit(queued("j", 0), 0)
     scheduler.submit(queued("j", 1), 0)
@@ -24,7 +24,7 @@
 
 
 def test_a_task_that_runs_is_not_accepted_again() -> None:
-    """Guards against one task in two places."""
+    """Guards against two runs of one task."""
     scheduler = scheduler_of(node("w-0"))
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
@@ -41,7 +41,7 @@
 
 
 def test_the_tasks_of_a_lost_worker_are_requeued_without_an_attempt() -> None:
-    """Guards against work that is lost with its worker."""
+    """Guards against tasks that are not rescheduled after the loss of their worker."""
     scheduler = scheduler_of(node("w-0"))
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
@@ -55,15 +55,15 @@
 
 
 def test_a_draining_worker_gets_no_start() -> None:
-    """Guards against new work on a worker that leaves."""
+    """Guards against new tasks on a worker that is being removed."""
     scheduler = scheduler_of(node("w-0"))
     scheduler.drain_worker("w-0", 0)
     scheduler.submit(queued("j"), 0)
     assert scheduler.step(0, 10) == []
 
 
-def test_cancelling_stops_what_runs_and_drops_what_waits() -> None:
-    """Guards against a cancelled job that goes on or comes back."""
+def test_cancelling_a_job_stops_running_and_drops_queued_tasks() -> None:
+    """Guards against a cancelled job that continues to run or is requeued."""
     scheduler = scheduler_of(node("w-0", cores=1))
     for index in range(3):
         scheduler.submit(queued("j", index), 0)
@@ -75,8 +75,8 @@
     assert scheduler.queued_count == scheduler.running_count == 0
 
 
-def test_stops_are_due_while_nothing_may_start() -> None:
-    """Guards against tasks that run on in a zone that was taken out."""
+def test_stops_are_returned_while_nothing_may_start() -> None:
+    """Guards against tasks that continue to run in an evacuated zone."""
     scheduler = scheduler_of(node("w"))
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
@@ -98,7 +98,7 @@
 
 
 def test_the_limit_hook_is_asked_with_the_use_so_far() -> None:
-    """Guards against a team that passes its limit within one step."""
+    """Guards against a team that exceeds its limit within one step."""
     policies = {kind: PolicyNames() for kind in JobKind}
 
     def may_start(team, resources) -> bool:
@@ -113,7 +113,7 @@
     assert waiting == "waiting: team at its upper limit"
 
 
-def test_a_reported_task_is_taken_over_and_leaves_the_queue() -> None:
+def test_a_reported_task_is_adopted_and_leaves_the_queue() -> None:
     """Guards against a second start of work that survived a takeover."""
     scheduler = scheduler_of(node("w-0"))
     entry = queued("j")
@@ -123,8 +123,8 @@
     assert scheduler.running_count == 1
 
 
-def test_a_reported_task_that_claims_room_is_not_started_again() -> None:
-    """Guards against two copies of a task that waits for room when it is found."""
+def test_a_reported_task_with_a_reservation_is_not_started_again() -> None:
+    """Guards against two runs of a task that holds a reservation when reported."""
     scheduler = scheduler_of(node("w-0", cores=1))
     scheduler.submit(queued("a"), 0)
     scheduler.step(0, 10)
@@ -138,7 +138,7 @@
     assert scheduler.queued_count == 0
 
 
-def test_teams_get_room_by_their_weights() -> None:
+def test_teams_get_capacity_by_their_weights() -> None:
     """Guards against shares that ignore the configured weights."""
     scheduler = scheduler_of(node("w-0", cores=8))
     scheduler.set_teams([Team("a", share=3), Team("b", share=1)])
@@ -150,7 +150,7 @@
 
 
 def test_a_large_task_below_its_share_starts_despite_small_ones() -> None:
-    """Guards against a team whose large tasks never find their room in one piece."""
+    """Guards against large tasks that never find enough capacity on one worker."""
     scheduler = scheduler_of(node("w-0", cores=4))
     for index in range(100):
         scheduler.submit(queued("small", index, "a"), 0)
@@ -164,7 +164,7 @@
     assert names == {"large/0": "w-0"}
 
 
-def test_a_large_task_of_a_team_at_its_share_keeps_room_after_a_while() -> None:
+def test_a_large_task_of_a_team_at_its_share_gets_a_reservation_after_a_delay() -> None:
     """Guards against a large task that waits without bound in a busy shard."""
     scheduler = scheduler_of(node("w-0", cores=2))
     scheduler.submit(queued("small", 0, "a"), 0)
@@ -177,8 +177,8 @@
     assert scheduler.reason_of(TaskId("large", 0)).startswith("waiting: room is kept")
 
 
-def test_a_team_above_its_share_gives_way_while_room_is_kept() -> None:
-    """Guards against room on other workers that small tasks go on taking."""
+def test_a_team_above_its_share_yields_while_capacity_is_reserved() -> None:
+    """Guards against small tasks that keep using freed capacity on other workers."""
     scheduler = scheduler_of(node("w-0", cores=2), node("w-1", cores=2))
     for index in range(100):
         scheduler.submit(queued("small", index, "a"), 0)
@@ -191,12 +191,14 @@
             assert "large/0" in names
             return
         reason = scheduler.reason_of(TaskId("small", 99))
-        assert reason == "waiting: team is above its share, others go first"
+        assert (
+            reason == "waiting: team is above its share, other teams are served first"
+        )
     raise AssertionError("the large task did not start")
 
 
-def test_a_blocked_team_starts_nothing_in_room_that_was_kept_for_it() -> None:
-    """Guards against a start above a limit through a claim made before."""
+def test_a_blocked_team_starts_nothing_in_its_reserved_capacity() -> None:
+    """Guards against a start above a limit through an earlier reservation."""
     scheduler = scheduler_of(node("w-0", cores=1))
     scheduler.submit(queued("a", team="a"), 0)
     scheduler.step(0, 10)
