--- a/tests/scheduling.py
+++ b/tests/scheduling.py
@@ -1,4 +1,4 @@
-"""Short forms of workers and tasks for the tests of the decisions."""
+"""Builders of workers, tasks and schedulers for the tests of the decisions."""
 
 from marjoramgrade.decisions.actions import StartTask, StopTask
 from marjoramgrade.decisions.scheduler import Scheduler
@@ -61,10 +61,10 @@
 
 
 def started(decisions: list[StartTask | StopTask]) -> dict[str, str]:
-    """Return the worker of each task that the decisions start."""
+    """Return the worker id of each started task."""
     return {str(d.task): d.worker_id for d in decisions if isinstance(d, StartTask)}
 
 
 def stopped(decisions: list[StartTask | StopTask]) -> dict[str, str]:
-    """Return the mode of each stop that the decisions contain."""
+    """Return the stop mode of each stopped task."""
     return {str(d.task): d.mode.value for d in decisions if isinstance(d, StopTask)}
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -1,4 +1,4 @@
-"""Random operations on one scheduler, compared with a plain model."""
+"""Random operations on one scheduler, compared with a simple model."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
 WORKERS = [f"w-{index}" for index in range(3)]
 CAPACITY = amount(4, 8)
-pick = st.integers(0, 1_000)
+choices = st.integers(0, 1_000)
 
 
 class SchedulerMachine(RuleBasedStateMachine):
@@ -22,18 +22,19 @@
         self.scheduler = scheduler_of()
         self.now_ms = 0
         self.jobs = 0
-        self.open_workers: set[str] = set()
+        self.schedulable_workers: set[str] = set()
         self.draining: set[str] = set()
-        # Work that must be in the scheduler, and where the model says it runs.
-        self.owed: set[TaskId] = set()
+        # Tasks that the scheduler must hold, and the worker and resources of each task
+        # that runs according to the model.
+        self.unfinished: set[TaskId] = set()
         self.placed: dict[TaskId, tuple[str, Resources]] = {}
         self.dropped: set[TaskId] = set()
         self.gang_by_job: dict[str, set[int]] = {}
-        self.told_to_stop: set[TaskId] = set()
+        self.stop_requested: set[TaskId] = set()
 
     @initialize()
     def fill_the_shard(self) -> None:
-        """Make every run begin full, so that claims and preemption are reached."""
+        """Start every run with a full shard, so that it reserves and preempts."""
         for name in WORKERS[:2]:
             self.add_worker(name)
         self.submit("a", 1, 8, JobKind.BATCH, False, 0)
@@ -41,27 +42,27 @@
 
     @rule(name=st.sampled_from(WORKERS))
     def add_worker(self, name: str) -> None:
-        if name not in self.open_workers:
+        if name not in self.schedulable_workers:
             self.scheduler.add_worker(node(name, rack=name[-1]))
-            self.open_workers.add(name)
+            self.schedulable_workers.add(name)
             self.draining.discard(name)
 
     @rule(name=st.sampled_from(WORKERS))
     def drain_worker(self, name: str) -> None:
-        if name in self.open_workers:
+        if name in self.schedulable_workers:
             self.scheduler.drain_worker(name, self.now_ms)
-            self.open_workers.discard(name)
+            self.schedulable_workers.discard(name)
             self.draining.add(name)
 
     @rule(name=st.sampled_from(WORKERS))
     def lose_worker(self, name: str) -> None:
-        if name not in self.open_workers | self.draining:
+        if name not in self.schedulable_workers | self.draining:
             return
         lost = set(self.scheduler.worker_lost(name, self.now_ms))
         assert lost == {t for t, (worker, _) in self.placed.items() if worker == name}
         for task in lost:
-            self.leave(task, is_final=task in self.dropped)
-        self.open_workers.discard(name)
+            self.record_end(task, is_final=task in self.dropped)
+        self.schedulable_workers.discard(name)
         self.draining.discard(name)
 
     @rule(
@@ -99,7 +100,7 @@
             ]
         for entry in entries:
             self.scheduler.submit(entry, self.now_ms)
-            self.owed.update(entry.iter_tasks())
+            self.unfinished.update(entry.iter_tasks())
 
     @rule(elapsed_ms=st.sampled_from([0, 1_000, 12_000]), budget=st.integers(1, 9))
     def step(self, elapsed_ms: int, budget: int) -> None:
@@ -108,19 +109,19 @@
         for decision in self.scheduler.step(self.now_ms, budget):
             if isinstance(decision, StopTask):
                 assert self.placed[decision.task][0] == decision.worker_id
-                self.told_to_stop.add(decision.task)
+                self.stop_requested.add(decision.task)
                 continue
             assert isinstance(decision, StartTask)
-            assert decision.task in self.owed
+            assert decision.task in self.unfinished
             assert decision.task not in self.placed
-            assert decision.worker_id in self.open_workers
+            assert decision.worker_id in self.schedulable_workers
             self.placed[decision.task] = (decision.worker_id, decision.resources)
             if decision.task.job_id in self.gang_by_job:
                 gangs.setdefault(decision.task.job_id, set()).add(decision.task.index)
         for job, indices in gangs.items():
             assert indices == self.gang_by_job[job]
 
-    @rule(choice=pick, ending=st.sampled_from(EndStatus))
+    @rule(choice=choices, ending=st.sampled_from(EndStatus))
     def end_task(self, choice: int, ending: EndStatus) -> None:
         if not self.placed or ending is EndStatus.LOST:
             return
@@ -128,9 +129,9 @@
 
     @rule(ends=st.integers(0, 6))
     def let_claims_start(self, ends: int) -> None:
-        """Let work wait long enough to claim room, and free some of it."""
+        """Wait until work may reserve capacity, then free part of the capacity."""
         self.step(12_000, 9)
-        for task in sorted(self.told_to_stop):
+        for task in sorted(self.stop_requested):
             self.end(task, EndStatus.STOPPED)
         for task in sorted(self.placed)[:ends]:
             self.end(task, EndStatus.DONE)
@@ -139,32 +140,32 @@
     def end(self, task: TaskId, ending: EndStatus) -> None:
         failed = self.scheduler.task_ended(task, ending, self.now_ms)
         is_final = ending is EndStatus.DONE or task in self.dropped
-        self.leave(task, is_final)
+        self.record_end(task, is_final)
         if failed is not None:
             self.scheduler.submit(failed, self.now_ms)
 
-    @rule(choice=pick)
+    @rule(choice=choices)
     def cancel_job(self, choice: int) -> None:
-        jobs = sorted({task.job_id for task in self.owed})
+        jobs = sorted({task.job_id for task in self.unfinished})
         if not jobs:
             return
         job = jobs[choice % len(jobs)]
-        tasks = {task for task in self.owed if task.job_id == job}
+        tasks = {task for task in self.unfinished if task.job_id == job}
         assert self.scheduler.cancel_job(job) == len(tasks)
         self.dropped.update(tasks & self.placed.keys())
-        self.owed -= tasks - self.placed.keys()
+        self.unfinished -= tasks - self.placed.keys()
 
-    def leave(self, task: TaskId, is_final: bool) -> None:
+    def record_end(self, task: TaskId, is_final: bool) -> None:
         del self.placed[task]
-        self.told_to_stop.discard(task)
+        self.stop_requested.discard(task)
         if is_final:
-            self.owed.discard(task)
+            self.unfinished.discard(task)
             self.dropped.discard(task)
             self.gang_by_job.get(task.job_id, set()).discard(task.index)
 
     @invariant()
     def never_overcommitted(self) -> None:
-        for name in self.open_workers | self.draining:
+        for name in self.schedulable_workers | self.draining:
             used = ZERO_RESOURCES
             for worker, resources in self.placed.values():
                 if worker == name:
@@ -175,7 +176,7 @@
     @invariant()
     def nothing_is_lost(self) -> None:
         assert self.scheduler.running_count == len(self.placed)
-        for task in self.owed:
+        for task in self.unfinished:
             assert self.scheduler.reason_of(task) != ""
         used = {team: self.scheduler.shares.usage_of(team) for team in "abc"}
         total = sum(each.cpu_millis for each in used.values())
