--- a/marjoramgrade/decisions/leadermonitor.py
+++ b/marjoramgrade/decisions/leadermonitor.py
@@ -1,27 +1,29 @@
-"""Whether the leader that the store names still writes."""
+"""Decides from the store whether the leader is still renewing its leadership."""
 
 from __future__ import annotations
 
 import attrs
 
-# A leader whose row stands still for this long while it is not heard counts as gone.
-# A takeover that was not needed costs a new fence for each worker; a late one costs
-# every caller who waits.
+# A leader that sends no heartbeats counts as down once its row has been unchanged for
+# this long. An unnecessary takeover costs a new fencing token for each worker; a late
+# one delays every waiting caller.
 STALE_MS = 550
-# The same, once its process is known to refuse connections or to have left.
+# The same limit if no heartbeat was received or the process is known to refuse
+# connections or to have left.
 STALE_REFUSED_MS = 350
-# On a slow store a renewal takes about three times as long as the reading that looks
-# for it, and the next one is only sent after it.
+# Lower bound of both limits, as a multiple of the duration of a read. On a slow store
+# a renewal takes about three times as long as the read that checks for it, and the
+# next renewal is only sent after it.
 STALE_READ_MULTIPLE = 6
 
 
 @attrs.frozen
 class LeaderRow:
-    """Who leads.
+    """The current leadership as stored.
 
     Attributes:
         epoch: Number of the leadership.
-        leader_id: The instance, or empty once it has given the leadership up.
+        leader_id: ID of the leading instance, or empty once it has resigned.
     """
 
     epoch: int
@@ -30,13 +32,13 @@
 
 @attrs.frozen
 class LastHeartbeat:
-    """The last beat of the leader that was heard.
+    """The last heartbeat received from the leader.
 
     Attributes:
-        leader: The leader.
-        received_ms: When it was heard, on this instance's clock; 0 if the leader has
-            left or was never heard.
-        clock_ms: The leader's clock as the beat said, or 0.
+        leader: Leadership under which the heartbeat was sent.
+        received_ms: Time of receipt, on this instance's clock; 0 if the leader has
+            left or no heartbeat was received.
+        clock_ms: The leader's clock as given in the heartbeat, or 0.
     """
 
     leader: LeaderRow = LeaderRow(0, "")
@@ -46,15 +48,15 @@
 
 @attrs.define
 class LeaderMonitor:
-    """What readings of the store have shown of the leader.
+    """Tracks the leader's rows in the store.
 
     Attributes:
-        row: Who leads.
+        row: The leadership as last read.
         row_version: Version of that row, 0 if there is none.
         renewal_version: Version of the row that the leader renews.
-        unchanged_since_ms: Since when both rows have stood still.
-        read_failed_ms: When the store could not be read last.
-        read_duration_ms: Duration of the last reading.
+        unchanged_since_ms: Time since which both rows are unchanged.
+        read_failed_ms: Time of the last failed read, or 0.
+        read_duration_ms: Duration of the last read.
     """
 
     row: LeaderRow = LeaderRow(0, "")
@@ -65,38 +67,40 @@
     read_duration_ms: int = 0
 
     def record_read_failure(self, now_ms: int) -> None:
-        """Note that nothing could be seen; such time does not count as standstill."""
+        """Record a failed read; time up to it does not count as unchanged."""
         self.unchanged_since_ms = self.read_failed_ms = now_ms
 
     def record_row(self, row: LeaderRow, version: int, now_ms: int) -> None:
-        """Note who leads."""
+        """Record the leadership row as read."""
         if version != self.row_version:
             self.row, self.row_version, self.unchanged_since_ms = row, version, now_ms
 
     def record_renewal(
         self, version: int, renewed_ms: int | None, heard: LastHeartbeat, now_ms: int
     ) -> None:
-        """Note the renewal.
+        """Record the renewal row as read.
 
-        A renewal that is older than the last beat shows that none came after the
-        beat, so the row has stood still since then.
+        A renewal that is older than the last heartbeat shows that none followed the
+        heartbeat, so the row counts as unchanged since then.
 
         Args:
             version: Version of the row, 0 if there is none.
             renewed_ms: The leader's clock in the row, None if it cannot be read.
-            heard: The last beat.
-            now_ms: The time.
+            heard: The last heartbeat.
+            now_ms: Current time.
         """
         if version == self.renewal_version:
             return
         self.renewal_version = version
         self.unchanged_since_ms = now_ms
-        is_of_leader = heard.leader == self.row and heard.received_ms and heard.clock_ms
-        if is_of_leader and renewed_ms is not None and renewed_ms <= heard.clock_ms:
+        is_comparable = (
+            heard.leader == self.row and heard.received_ms and heard.clock_ms
+        )
+        if is_comparable and renewed_ms is not None and renewed_ms <= heard.clock_ms:
             self.unchanged_since_ms = max(heard.received_ms, self.read_failed_ms)
 
     def is_leader_down(self, heard: LastHeartbeat, now_ms: int) -> bool:
-        """Whether the leader has stood still for too long."""
+        """Whether the leader's rows have been unchanged for too long."""
         limit_ms = STALE_MS if heard.received_ms else STALE_REFUSED_MS
         limit_ms = max(limit_ms, STALE_READ_MULTIPLE * self.read_duration_ms)
         return now_ms - self.unchanged_since_ms >= limit_ms
--- a/marjoramgrade/decisions/teamusage.py
+++ b/marjoramgrade/decisions/teamusage.py
@@ -1,4 +1,4 @@
-"""What each team has running, against its upper limit."""
+"""Resource usage of teams against their limits, and job rates against weights."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.stepconfig import TeamPolicy
 
-# Jobs of a team that count towards its weight are counted over this time.
+# Period over which the jobs of a team are counted against its weight.
 WEIGHT_WINDOW_MS = 1_000
 
 
 @attrs.define
 class TeamUsage:
-    """What teams have running, and how fast their jobs come.
+    """Resource usage and job rates of teams.
 
     Attributes:
-        used_by_team: What runs, or may run, by team.
+        used_by_team: Resources of the runs that exist or may exist, by team.
     """
 
     used_by_team: dict[str, Resources] = attrs.field(factory=dict)
-    _allowance_by_team: dict[str, tuple[float, int]] = attrs.field(factory=dict)
+    _tokens_by_team: dict[str, tuple[float, int]] = attrs.field(factory=dict)
 
     def add(self, team: str, amount: Resources) -> None:
-        """Count a run."""
+        """Add the resources of a run."""
         self.used_by_team[team] = self.used_by_team.get(team, ZERO_RESOURCES) + amount
 
     def remove(self, team: str, amount: Resources) -> None:
-        """Stop counting a run."""
+        """Subtract the resources of a run."""
         self.used_by_team[team] = self.used_by_team.get(team, ZERO_RESOURCES) - amount
 
     def has_capacity(
         self, team: str, amount: Resources, policies: Mapping[str, TeamPolicy]
     ) -> bool:
-        """Whether a team stays within its limit with this much more."""
+        """Whether a team stays within its limit if it uses this much more."""
         policy = policies.get(team)
         if policy is None:
             return True
@@ -43,28 +43,29 @@
         return is_within(total, policy.limit)
 
     def is_beyond_weight(self, policy: TeamPolicy | None, now_ms: int) -> bool:
-        """Count a job that came; returns whether it exceeds the team's weight.
+        """Count a new job; returns whether it exceeds the team's weight.
 
-        A bucket holds as many jobs as the weight gives in a second.
+        A token bucket holds as many jobs as the weight allows per second, but at
+        least one.
         """
         if policy is None:
             return False
         burst = max(policy.weight * WEIGHT_WINDOW_MS / 1_000, 1.0)
-        level, since_ms = self._allowance_by_team.get(policy.name, (burst, now_ms))
-        level = min(burst, level + policy.weight * (now_ms - since_ms) / 1_000)
-        exceeds = level < 1.0
-        self._allowance_by_team[policy.name] = (
-            level if exceeds else level - 1.0,
+        tokens, since_ms = self._tokens_by_team.get(policy.name, (burst, now_ms))
+        tokens = min(burst, tokens + policy.weight * (now_ms - since_ms) / 1_000)
+        exceeds = tokens < 1.0
+        self._tokens_by_team[policy.name] = (
+            tokens if exceeds else tokens - 1.0,
             now_ms,
         )
         return exceeds
 
 
 def is_within(amount: Resources, limit: Resources) -> bool:
-    """Whether an amount is within a limit, of which 0 means none."""
+    """Whether an amount is within a limit; a value of 0 means no limit."""
     return all(
-        most == 0 or used <= most
-        for used, most in (
+        maximum == 0 or used <= maximum
+        for used, maximum in (
             (amount.cpu_millis, limit.cpu_millis),
             (amount.memory_mib, limit.memory_mib),
             (amount.accelerators, limit.accelerators),
--- a/marjoramgrade/decisions/tickets.py
+++ b/marjoramgrade/decisions/tickets.py
@@ -6,15 +6,22 @@
 
 import attrs
 
-# A ticket is used only while it stays valid for the way to the worker.
+# A ticket is used only if it stays valid for this long, the time to reach the worker.
 TICKET_MARGIN_MS = 150
-# Before another call after one that failed; the advisor serves one call at a time.
+# Delay before the next call after a failed one; the advisor serves one call at a
+# time.
 ADVICE_RETRY_MS = 300
 
 
 @attrs.frozen
 class Ticket:
-    """Permission to run a step on one life of a worker until a time."""
+    """Time-limited permission to run a step on one incarnation of a worker.
+
+    Attributes:
+        text: The ticket as issued by the advisor.
+        born_unix_ms: Start of the worker's incarnation, in Unix time.
+        valid_until_ms: Expiry, on our clock.
+    """
 
     text: str
     born_unix_ms: int
@@ -23,12 +30,12 @@
 
 @attrs.define
 class TicketCache:
-    """What the advisor has said of one step.
+    """The advisor's answers for one step.
 
     Attributes:
         ticket_by_worker: The newest ticket of each worker that may run the step.
-        asked_workers: Workers that the advisor has judged.
-        is_pending: Whether a call is on its way.
+        asked_workers: Workers that the advisor has accepted or rejected.
+        is_pending: Whether a call is in progress.
         next_call_ms: Earliest time of the next call.
     """
 
@@ -56,8 +63,8 @@
     def workers_to_ask(self, worker_ids: Iterable[str]) -> list[str]:
         """Return the workers to name in the next call.
 
-        The judgement of a worker does not change, so those that were rejected are
-        not named again.
+        Rejected workers are not named again, since the advisor's decision on a worker
+        does not change.
         """
         return [
             worker_id
@@ -68,7 +75,7 @@
     def record(
         self, asked: Iterable[str], ticket_by_worker: Mapping[str, Ticket]
     ) -> None:
-        """Take over the answer to a call."""
+        """Apply the answer to a call."""
         self.is_pending = False
         self.asked_workers.update(asked)
         for worker_id in asked:
@@ -76,15 +83,15 @@
         self.ticket_by_worker.update(ticket_by_worker)
 
     def failed(self, now_ms: int) -> None:
-        """Note that a call brought no answer."""
+        """Record a failed call; the next one is delayed."""
         self.is_pending = False
         self.next_call_ms = now_ms + ADVICE_RETRY_MS
 
     def discard_ticket(self, worker_id: str) -> None:
-        """Forget a ticket that its worker refused; the advisor is asked again."""
+        """Discard a ticket that its worker rejected, so that a new one is requested."""
         self.ticket_by_worker.pop(worker_id, None)
         self.asked_workers.discard(worker_id)
 
     def record_not_reached(self) -> None:
-        """Note that a call did not reach the advisor; another may follow at once."""
+        """Record a call that did not reach the advisor; another may follow at once."""
         self.is_pending = False
--- a/marjoramgrade/decisions/workerlease.py
+++ b/marjoramgrade/decisions/workerlease.py
@@ -1,25 +1,27 @@
-"""When everything that a worker runs has surely ended."""
+"""Determines when a lease on a worker has certainly expired."""
 
 from __future__ import annotations
 
 import attrs
 
-# A worker's steady clock may run this much slower than ours; from the protocol.
+# Fraction by which a worker's monotonic clock may run slower than ours, as the
+# protocol specifies.
 MAX_CLOCK_DRIFT = 0.02
-# Between the expiry of a lease on the worker and the end of what it runs.
+# Time between the expiry of a lease on the worker and the end of its runs.
 EXPIRY_MARGIN_MS = 250
 
 
 @attrs.define
 class WorkerLease:
-    """When everything that a worker runs has surely ended.
+    """Lease of one worker, after whose expiry all of its runs have ended.
 
     Attributes:
-        clock_ms: The worker's clock as last heard.
-        clock_received_ms: Our time at which it was heard.
-        granted_until_clock_ms: Latest expiry that any order has carried, on the
-            worker's clock.
-        earliest_expiry_ms: Expiry on our clock while the worker's clock is unknown.
+        clock_ms: Latest known reading of the worker's clock.
+        clock_received_ms: Time of that reading on our clock, or 0 if there is none.
+        granted_until_clock_ms: Latest expiry sent with any order, on the worker's
+            clock.
+        earliest_expiry_ms: Earliest possible expiry on our clock; the only bound while
+            the worker's clock is unknown.
     """
 
     clock_ms: int = 0
@@ -28,17 +30,17 @@
     earliest_expiry_ms: int = 0
 
     def record_clock(self, clock_ms: int, now_ms: int) -> None:
-        """Take over a reading of the worker's clock."""
+        """Record a reading of the worker's clock, unless it is older than the last."""
         if clock_ms >= self.clock_ms:
             self.clock_ms, self.clock_received_ms = clock_ms, now_ms
 
     def earliest_clock_ms(self, now_ms: int) -> int:
-        """Return what the worker's clock shows at least."""
+        """Return the lowest time that the worker's clock can show."""
         elapsed = now_ms - self.clock_received_ms
         return self.clock_ms + int(elapsed * (1 - MAX_CLOCK_DRIFT))
 
     def has_expired(self, now_ms: int) -> bool:
-        """Whether the lease has run out however slow the worker's clock is."""
+        """Whether the lease has expired even on the slowest permitted clock."""
         if not self.clock_received_ms:
             return now_ms >= self.earliest_expiry_ms
         return (
--- a/tests/test_advisorchannels.py
+++ b/tests/test_advisorchannels.py
@@ -1,4 +1,4 @@
-"""Calls to the placement advisor, which serves each instance in turn."""
+"""Tests the choice of the instance that calls the placement advisor."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 
 
-def test_long_calls_leave_the_own_line_to_short_ones():
+def test_long_calls_leave_the_own_channel_to_short_calls():
     # Guards against a short call that waits half a second behind a long one.
     channels = AdvisorChannels("own", {"peer": 1})
     assert channels.choose(530, 0) == "peer"
@@ -21,12 +21,12 @@
 
 
 def test_single_instance_makes_long_calls_itself():
-    # Guards against long calls that nobody makes.
+    # Guards against long calls that no instance makes.
     assert AdvisorChannels("own").choose(530, 0) == "own"
 
 
-def test_silent_instance_is_avoided_for_a_while():
-    # Guards against steps that wait in turn for an instance in a zone that is cut off.
+def test_unresponsive_instance_is_avoided_for_the_maximum_backoff():
+    # Guards against steps that each wait for an instance in a zone that is cut off.
     channels = AdvisorChannels("own", {"peer": 1})
     channels.avoid("peer", 1_200, 0)
     assert channels.choose(530, 3_900) == "own"
@@ -35,7 +35,7 @@
 
 def test_instance_that_refused_is_tried_again_soon():
     # Guards against 4 s without advice after all instances lost power: none of them
-    # answers yet when the first new leader asks (grown kbwb-arrears, trouble-1).
+    # responds yet when the first new leader calls (grown kbwb-arrears, trouble-1).
     channels = AdvisorChannels("own", {"peer": 1})
     channels.avoid("peer", 2, 0)
     assert channels.choose(530, 10) == "own"
@@ -48,7 +48,7 @@
 
 
 def test_instance_that_registers_again_is_tried_at_once():
-    # Guards against avoiding a new process for the failures of the one before it.
+    # Guards against avoiding a new process because its predecessor failed.
     channels = AdvisorChannels("own", {"peer": 1})
     channels.avoid("peer", 1_200, 0)
     channels.set_instances({"peer": 1})
@@ -59,8 +59,8 @@
 
 @given(st.lists(st.integers(1, 800), max_size=30))
 def test_line_is_free_again_once_all_calls_have_ended(calls):
-    # Guards against a remainder in the sum that kept lines busy for ever; with
-    # floating point 0.1 + 0.2 - 0.3 is not zero.
+    # Guards against a remainder in the sum that kept channels busy forever: in
+    # floating point, 0.1 + 0.2 - 0.3 is not zero.
     channels = AdvisorChannels("own", {"peer": 1})
     for decide_ms in calls:
         channels.record_call("peer", decide_ms)
--- a/tests/test_teamusage.py
+++ b/tests/test_teamusage.py
@@ -1,4 +1,4 @@
-"""Limits and weights of teams."""
+"""Tests limits and weights of teams."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_limit_of_zero_means_none():
-    # Guards against a team without a limit that may run nothing.
+    # Guards against treating a limit of 0 as no capacity at all.
     usage = TeamUsage()
     policies = {"red": TeamPolicy("red", limit=Resources(cpu_millis=2_000))}
     assert usage.has_capacity("red", cores(2, 10**6), policies)
@@ -17,8 +17,8 @@
     assert usage.has_capacity("unknown", cores(100), policies)
 
 
-def test_jobs_beyond_the_weight_are_told_apart():
-    # Guards against a team that takes the place of others by sending more.
+def test_jobs_beyond_the_weight_are_detected():
+    # Guards against a team that displaces others by submitting more jobs.
     usage, policy = TeamUsage(), TeamPolicy("red", weight=2.0)
-    marks = [usage.is_beyond_weight(policy, 100 * n) for n in range(20)]
-    assert marks.count(False) in (5, 6)
+    results = [usage.is_beyond_weight(policy, 100 * n) for n in range(20)]
+    assert results.count(False) in (5, 6)
--- a/tests/test_workerlease.py
+++ b/tests/test_workerlease.py
@@ -1,4 +1,4 @@
-"""When everything that a worker runs has surely ended."""
+"""Tests when the lease on a worker counts as expired."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
     speed=st.floats(1 - MAX_CLOCK_DRIFT, 1.0),
 )
 def test_lease_never_counts_as_expired_too_early(granted, elapsed, speed):
-    # Guards against a task that starts elsewhere while a slow clock still holds it.
+    # Guards against starting a task elsewhere while a worker with a slow clock may
+    # still run it.
     lease = WorkerLease()
     lease.record_clock(1_000, 50)
     lease.granted_until_clock_ms = 1_000 + granted
@@ -22,15 +23,15 @@
         assert 1_000 + elapsed * speed >= lease.granted_until_clock_ms
 
 
-def test_worker_that_was_never_heard_expires_by_our_clock():
-    # Guards against runs of an earlier leader that count as gone at once.
+def test_lease_without_a_clock_reading_expires_by_our_clock():
+    # Guards against treating runs of an earlier leader as ended at once.
     lease = WorkerLease(earliest_expiry_ms=7_000)
     assert not lease.has_expired(6_999)
     assert lease.has_expired(7_000)
 
 
-def test_late_answer_does_not_turn_the_clock_back():
-    # Guards against an older reading of the clock that arrives later.
+def test_older_clock_reading_is_ignored():
+    # Guards against an older clock reading that arrives late.
     lease = WorkerLease()
     lease.record_clock(2_000, 100)
     lease.record_clock(1_500, 200)
