--- a/tests/test_stepsupervision.py
+++ b/tests/test_stepsupervision.py
@@ -63,7 +63,7 @@
     sent = starts(cell.plan())
     cell.confirm(*sent)
     slow = sent[0]
-    all_stops = []
+    stopped = []
     for passed_ms, percent, slow_percent in (
         (500, 50, 50),
         (400, 80, 54),
@@ -79,8 +79,8 @@
                     if start.worker_id == worker_id
                 ),
             )
-        all_stops += stops(supervise(cell, supervisor))
-    assert [stop.task for stop in all_stops] == [slow.order.task]
+        stopped += stops(supervise(cell, supervisor))
+    assert [stop.task for stop in stopped] == [slow.order.task]
 
 
 def test_task_that_is_slow_on_two_workers_is_not_moved_again():
