--- a/marjoramgrade/controllers/leaderprobe.py
+++ b/marjoramgrade/controllers/leaderprobe.py
@@ -1,4 +1,4 @@
-"""What other instances say of the leader, and whether its process still runs."""
+"""Queries other instances about the leader, and checks whether its process runs."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from marjoramgrade.messages.steps import AskLeaderAge, LeaderAge
 
 ASK_TIMEOUT_MS = 300
-# A process that has ended refuses connections within a round trip; an instance that is
-# cut off or without power does not answer in this time.
+# The host of an ended process refuses connections within a round trip; an instance that
+# is cut off or without power does not respond within this time.
 REFUSAL_TIMEOUT_MS = 100
-# A connection that is about to break may take the first call.
+# The first call may be lost on a connection that is about to break.
 PROBE_ATTEMPTS = 3
 PROBE_RETRY_DELAY_MS = 20
 
 
 @attrs.frozen
 class LeaderProbe:
-    """Asks other instances.
+    """Queries other instances about the leader.
 
     Attributes:
-        peers: Reaches the other instances.
+        peers: Sends calls to the other instances.
         clock: Monotonic time.
     """
 
@@ -36,7 +36,7 @@
     clock: Clock
 
     async def ask_leader_age(self, instance_id: str) -> LeaderAge | None:
-        """Return when an instance last heard the leader, None without an answer."""
+        """Return how long ago an instance heard the leader, or None without a reply."""
         try:
             answer = await self.peers.ask(
                 CallPeer(instance_id, AskLeaderAge(), ASK_TIMEOUT_MS)
@@ -48,12 +48,12 @@
     async def count_without_heartbeat(
         self, instance_ids: Sequence[str], leader: LeaderRow, unheard_ms: int
     ) -> int:
-        """Return how many instances have not heard a leader for a time.
+        """Return how many instances lack a recent heartbeat of a leader.
 
         Args:
             instance_ids: The instances to ask.
-            leader: The leader; those that know of a later one do not count.
-            unheard_ms: The time.
+            leader: The leader; instances that know a later epoch do not count.
+            unheard_ms: Minimum age of the last heartbeat for an instance to count.
         """
         ages = await asyncio.gather(
             *(self.ask_leader_age(other) for other in instance_ids)
@@ -69,14 +69,14 @@
     async def has_process_ended(self, instance_id: str) -> bool:
         """Whether the process of an instance refuses connections."""
         for _ in range(PROBE_ATTEMPTS):
-            began_ms = self.clock.now_ms()
+            started_ms = self.clock.now_ms()
             try:
                 await self.peers.ask(
                     CallPeer(instance_id, AskLeaderAge(), REFUSAL_TIMEOUT_MS)
                 )
             except OwnerUnreachableError:
-                # A connection that is not refused hangs for longer.
-                return self.clock.now_ms() - began_ms < REFUSAL_TIMEOUT_MS
+                # A connection attempt that is not refused takes longer to fail.
+                return self.clock.now_ms() - started_ms < REFUSAL_TIMEOUT_MS
             except MarjoramgradeError:
                 await asyncio.sleep(PROBE_RETRY_DELAY_MS / 1000)
             else:
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -1,8 +1,8 @@
-"""Who leads: follows the leader, replaces one that is gone, renews its own lead.
+"""Leader election: follows the leader, replaces a failed leader, renews its own lead.
 
-Fences make a takeover safe at any time: the old leader's writes fail on the row
-that says who leads, and its orders are refused by the workers. What is weighed
-here is only how soon a leader counts as gone.
+Fencing tokens make a takeover safe at any time: the old leader's writes fail the check
+of the row that names the leader, and workers refuse its orders. This module decides
+only how soon a leader counts as failed.
 """
 
 from __future__ import annotations
@@ -63,46 +63,48 @@
     serialize_row,
 )
 
-# Shortest time between two looks at what is due.
+# Shortest wait between two checks for work that is due.
 MIN_WAIT_MS = 50
-# The leader tells everybody that it leads at this interval.
+# Interval at which the leader sends heartbeats to all instances.
 HEARTBEAT_INTERVAL_MS = 150
-# It writes to the store at least this often, so that others can tell a leader
-# that is gone from one that they cannot hear.
+# The leader renews its row in the store at this interval, so that other instances can
+# distinguish a failed leader from a leader whose heartbeats do not reach them.
 RENEWAL_INTERVAL_MS = 300
-# After this silence the store is asked whether the leader still writes; two beats
-# may be lost or late.
+# After this time without a heartbeat, an instance reads from the store whether the
+# leader still writes; two heartbeats may be lost or late.
 HEARTBEAT_TIMEOUT_MS = 400
 # A leader that most instances have not heard for this long is replaced even if it
 # still writes: it cannot serve them.
 MAJORITY_HEARTBEAT_TIMEOUT_MS = 2_500
-# A leader that only others have reached the store for all this time gives the lead to
-# one of them. After an outage of the whole store a relay may answer before the direct
-# way is tried again, which takes up to 400 ms.
+# A leader that has reached the store only through other instances for this long
+# releases the lead to one of them. After an outage of the whole store a relay may
+# respond before the direct path is tried again, which takes up to 400 ms.
 RELAY_HANDOVER_DELAY_MS = 700
-# After that it is no candidate for this long.
+# An instance that lost its direct path to the store is no candidate for this long.
 INELIGIBLE_MS = 3_000
-# Candidates wait a little in turn, the strongest first and of these the newest, so
-# that the first one usually is the only one; beyond the last rank all wait alike.
+# Each candidate delays its takeover by this time multiplied by its rank, so that
+# usually only the first candidate tries. The strongest instances come first and, among
+# equals, the newest; all candidates beyond MAX_RANK wait equally long.
 RANK_DELAY_MS = 30
 MAX_RANK = 10
-# An instance that has just started waits this long for the list of members.
+# A newly started instance waits this long for the list of members before a takeover.
 MEMBER_LIST_WAIT_MS = 900
-# A leader that is this much weaker than another instance gives it the lead.
+# A leader releases the lead if its strength is below this fraction of the strongest
+# instance's strength. It checks once, this long after it began to lead.
 MIN_STRENGTH_RATIO = 0.6
 STRENGTH_CHECK_DELAY_MS = 1_500
 
 
 class LeadershipController(Actor):
-    """Decides when this instance takes the lead.
+    """Decides when this instance takes over, renews and releases the lead.
 
     Args:
         own: This instance.
         store: Reads and writes rows.
-        peers: Reaches the other instances.
-        scheduler: Leads when this instance does.
+        peers: Sends messages to the other instances.
+        scheduler: Schedules step jobs while this instance leads.
         clock: Monotonic time.
-        subscribers: Told which instance leads.
+        subscribers: Receive changes of the leader and its heartbeats.
     """
 
     def __init__(
@@ -124,119 +126,121 @@
         self._probe = LeaderProbe(peers, clock)
         self._subscribers = subscribers
         self._members: tuple[Member, ...] = ()
-        self._watch = LeaderMonitor()
+        self._monitor = LeaderMonitor()
         self._leader = LeaderRow(0, "")
-        # An instance that has just started has heard nobody.
-        self._heard_ms = 0
-        self._heard_clock_ms = 0
+        # 0 if no heartbeat has arrived, or if the leader has left or its process ended.
+        self._last_heartbeat_ms = 0
+        self._last_heartbeat_clock_ms = 0
         self._own_epoch = 0
         self._attempted_epoch = 0
         self._ended_epoch = 0
-        self._led_from_ms = 0
+        self._leading_since_ms = 0
         self._confirmed_ms = 0
-        self._looked_for_stronger = False
+        self._has_checked_strength = False
         self._started_ms = clock.now_ms()
-        self._renewed_ms = 0
-        self._beat_ms = 0
+        self._renewal_sent_ms = 0
+        self._heartbeat_sent_ms = 0
         self._leaving = False
         self._wake = asyncio.Event()
-        self._lost_direct_ms = 0
+        self._direct_path_lost_ms = 0
         self._relayed_since_ms = 0
 
     async def on_start(self) -> None:
-        """Start to follow or to lead."""
+        """Start to monitor the leader, and to lead if there is none."""
         self.spawn_critical(self._run())
 
-    # What others tell
+    # Reports of other actors and instances
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
         self._members = message.members
 
     @handles(LeaderBeat)
-    async def _beat(self, message: LeaderBeat) -> None:
+    async def _heartbeat_received(self, message: LeaderBeat) -> None:
         if message.epoch < self._leader.epoch:
             return
-        if message.leader_id != self._leader.leader_id or not self._heard_ms:
+        if message.leader_id != self._leader.leader_id or not self._last_heartbeat_ms:
             logs.log_event(
                 "leader_heard", leader=message.leader_id, epoch=message.epoch
             )
-        self._heard_ms = self._clock.now_ms()
-        self._heard_clock_ms = message.clock_ms
+        self._last_heartbeat_ms = self._clock.now_ms()
+        self._last_heartbeat_clock_ms = message.clock_ms
         self._follow(LeaderRow(message.epoch, message.leader_id))
         self._tell(message)
 
     @handles(LeaderLeft)
     async def _leader_left(self, message: LeaderLeft) -> None:
         if message.epoch >= self._leader.epoch:
-            self._heard_ms = 0
+            self._last_heartbeat_ms = 0
             self._wake.set()
 
     @handles(PeerDisconnected)
-    async def _peer_lost(self, message: PeerDisconnected) -> None:
-        # An instance that is not in the list could not be called back.
+    async def _peer_disconnected(self, message: PeerDisconnected) -> None:
+        # An instance that is missing in the list of members cannot be called.
         known = {member.instance_id for member in self._members}
         is_leader = message.instance_id == self._leader.leader_id
         if is_leader and message.instance_id in known and not self._own_epoch:
             self.spawn(self._check_process(self._leader))
 
     async def _check_process(self, leader: LeaderRow) -> None:
-        """Wait for nothing more if the process of the leader has ended."""
+        """Skip the heartbeat time-out if the process of the leader has ended."""
         if (
             await self._probe.has_process_ended(leader.leader_id)
             and leader == self._leader
         ):
             logs.log_event("leader_ended", leader=leader.leader_id, epoch=leader.epoch)
             self._ended_epoch = leader.epoch
-            self._heard_ms = 0
+            self._last_heartbeat_ms = 0
             self._wake.set()
 
     @handles(AskLeaderAge)
     async def _leader_age(self, message: AskLeaderAge) -> LeaderAge:
-        return LeaderAge(self._leader.epoch, self._clock.now_ms() - self._heard_ms)
+        return LeaderAge(
+            self._leader.epoch, self._clock.now_ms() - self._last_heartbeat_ms
+        )
 
     @handles(StorePathStatus)
-    async def _store_contact(self, message: StorePathStatus) -> None:
+    async def _store_path_changed(self, message: StorePathStatus) -> None:
         if message.direct:
-            self._lost_direct_ms = self._relayed_since_ms = 0
+            self._direct_path_lost_ms = self._relayed_since_ms = 0
             return
         now_ms = self._clock.now_ms()
-        self._lost_direct_ms = self._lost_direct_ms or now_ms
+        self._direct_path_lost_ms = self._direct_path_lost_ms or now_ms
         if message.relayed:
             self._relayed_since_ms = self._relayed_since_ms or now_ms
 
     @handles(LeadershipConfirmed)
-    async def _confirmed(self, message: LeadershipConfirmed) -> None:
+    async def _leadership_confirmed(self, message: LeadershipConfirmed) -> None:
         if message.epoch == self._own_epoch:
             self._confirmed_ms = max(self._confirmed_ms, message.asked_ms)
 
     @handles(LeadershipEnded)
-    async def _step_down(self, message: LeadershipEnded) -> None:
+    async def _leadership_ended(self, message: LeadershipEnded) -> None:
         if message.epoch == self._own_epoch:
-            self._lose(message.reason)
+            self._mark_lost(message.reason)
 
     @handles(ReleaseLeadership)
-    async def _leave(self, message: ReleaseLeadership) -> Any:
+    async def _release_on_stop(self, message: ReleaseLeadership) -> Any:
         self._leaving = True
-        return self.spawn(self._release("the instance stops"))
+        return self.spawn(self._release("the instance is stopping"))
 
     async def _release(self, reason: str) -> None:
-        """Give the lead up, so that another instance takes it at once."""
+        """Release the lead, so that another instance takes over at once."""
         epoch = self._own_epoch
         if not epoch:
             return
-        self._lose(reason)
+        self._mark_lost(reason)
         self._scheduler.tell(LeadershipEnded(epoch, reason))
         row = serialize_row(LeaderRow(epoch, ""))
         try:
             await self._store.ask(
                 CommitRows(
-                    (RowCheck(EPOCH_ROW, self._watch.row_version),),
+                    (RowCheck(EPOCH_ROW, self._monitor.row_version),),
                     (RowWrite(EPOCH_ROW, row),),
                 )
             )
         except MarjoramgradeError as error:
-            # The successor notices the silence instead.
+            # The successor takes over after the heartbeat time-out instead.
             logs.log_event("lead_release_failed", code=error.code)
         self._peers.tell(TellPeers(LeaderLeft(epoch)))
 
@@ -244,126 +248,136 @@
 
     async def _run(self) -> None:
         while True:
-            await self._pause()
+            await self._wait()
             if self._leaving:
                 continue
-            if self._own_epoch and self._is_served_by_others():
-                await self._release("only other instances reach the store")
+            if self._own_epoch and self._is_only_relayed():
+                await self._release(
+                    "the store is reachable only through other instances"
+                )
             elif self._own_epoch:
-                await self._lead()
-                led_ms = self._clock.now_ms() - self._led_from_ms
-                if led_ms >= STRENGTH_CHECK_DELAY_MS and not self._looked_for_stronger:
+                await self._maintain_lead()
+                leading_ms = self._clock.now_ms() - self._leading_since_ms
+                if (
+                    leading_ms >= STRENGTH_CHECK_DELAY_MS
+                    and not self._has_checked_strength
+                ):
                     await self._yield_to_stronger()
-            elif self._clock.now_ms() - self._heard_ms >= HEARTBEAT_TIMEOUT_MS:
-                await self._consider()
+            elif self._clock.now_ms() - self._last_heartbeat_ms >= HEARTBEAT_TIMEOUT_MS:
+                await self._take_over_if_needed()
 
-    async def _pause(self) -> None:
-        """Wait until something is due, or until the leader says that it leaves."""
+    async def _wait(self) -> None:
+        """Wait until the next deadline or until the leader leaves or ends."""
         if self._own_epoch:
             due_ms = min(
-                self._beat_ms + HEARTBEAT_INTERVAL_MS,
-                self._renewed_ms + RENEWAL_INTERVAL_MS,
+                self._heartbeat_sent_ms + HEARTBEAT_INTERVAL_MS,
+                self._renewal_sent_ms + RENEWAL_INTERVAL_MS,
             )
         else:
-            due_ms = self._heard_ms + HEARTBEAT_TIMEOUT_MS
+            due_ms = self._last_heartbeat_ms + HEARTBEAT_TIMEOUT_MS
         pause_ms = max(MIN_WAIT_MS, due_ms - self._clock.now_ms())
         self._wake.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause_ms / 1000):
                 await self._wake.wait()
 
-    def _is_served_by_others(self) -> bool:
+    def _is_only_relayed(self) -> bool:
         since_ms = self._relayed_since_ms
         return (
             bool(since_ms)
             and self._clock.now_ms() - since_ms >= RELAY_HANDOVER_DELAY_MS
         )
 
-    async def _lead(self) -> None:
+    async def _maintain_lead(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms - self._beat_ms >= HEARTBEAT_INTERVAL_MS:
-            self._beat_ms = now_ms
-            beat = LeaderBeat(
+        if now_ms - self._heartbeat_sent_ms >= HEARTBEAT_INTERVAL_MS:
+            self._heartbeat_sent_ms = now_ms
+            heartbeat = LeaderBeat(
                 self._own_epoch, self._instance_id, now_ms, now_ms - self._confirmed_ms
             )
-            self._peers.tell(TellPeers(beat))
-            self._tell(beat)
-        if now_ms - self._renewed_ms >= RENEWAL_INTERVAL_MS:
-            self._renewed_ms = now_ms
-            # The leader's writes leave one after the other, so that a slow store
-            # is not flooded with renewals.
+            self._peers.tell(TellPeers(heartbeat))
+            self._tell(heartbeat)
+        if now_ms - self._renewal_sent_ms >= RENEWAL_INTERVAL_MS:
+            self._renewal_sent_ms = now_ms
+            # The scheduler sends the leader's writes one after the other, so that
+            # renewals do not flood a slow store.
             self._scheduler.tell(RenewLeadership(self._own_epoch))
 
-    async def _consider(self) -> None:
-        """Take the lead if the leader is gone."""
+    async def _take_over_if_needed(self) -> None:
+        """Take over the lead if the leader has failed or left."""
         is_alone = len(self._members) < 2
         if is_alone and self._clock.now_ms() - self._started_ms < MEMBER_LIST_WAIT_MS:
             return
-        lost_ms = self._clock.now_ms() - self._lost_direct_ms
-        if self._lost_direct_ms and lost_ms < INELIGIBLE_MS:
+        lost_ms = self._clock.now_ms() - self._direct_path_lost_ms
+        if self._direct_path_lost_ms and lost_ms < INELIGIBLE_MS:
             return
-        if not await self._observe():
+        if not await self._read_leadership():
             return
         now_ms = self._clock.now_ms()
-        row = self._watch.row
+        row = self._monitor.row
         if row.epoch > self._leader.epoch or row.leader_id != self._leader.leader_id:
             self._follow(row)
         is_own = row.leader_id == self._instance_id
         if is_own and row.epoch == self._attempted_epoch:
-            # The answer to the takeover was lost, but it took effect.
-            await self._begin(row.epoch, self._watch.row_version)
+            # The takeover took effect although its response was lost.
+            await self._begin_lead(row.epoch, self._monitor.row_version)
             return
         if row.leader_id and not is_own:
             is_leader_down = (
                 row.epoch == self._ended_epoch
-                or self._watch.is_leader_down(self._heard(), now_ms)
+                or self._monitor.is_leader_down(self._last_heartbeat(), now_ms)
             )
-            if not is_leader_down and not await self._is_unheard():
+            if not is_leader_down and not await self._is_unheard_by_majority():
                 return
         await asyncio.sleep(self._rank() * RANK_DELAY_MS / 1000)
-        if self._clock.now_ms() - self._heard_ms >= HEARTBEAT_TIMEOUT_MS:
-            await self._take()
+        if self._clock.now_ms() - self._last_heartbeat_ms >= HEARTBEAT_TIMEOUT_MS:
+            await self._take_over()
 
-    async def _observe(self) -> bool:
-        """Read the rows of the leadership; returns whether the store answered."""
+    async def _read_leadership(self) -> bool:
+        """Read the rows of the leadership and return whether the store responded."""
         asked_ms = self._clock.now_ms()
         try:
             page: RowsPage = await self._store.ask(
                 ReadRows(LEADERSHIP_TABLE, LEADER_PART)
             )
         except TableError:
-            self._watch.record_read_failure(self._clock.now_ms())
+            self._monitor.record_read_failure(self._clock.now_ms())
             return False
         now_ms = self._clock.now_ms()
-        self._watch.read_duration_ms = now_ms - asked_ms
-        found = {row.row: row for row in page.rows}
-        self._note_epoch(found.get(EPOCH_ROW), now_ms)
-        renewal = found.get(RENEWAL_ROW)
+        self._monitor.read_duration_ms = now_ms - asked_ms
+        row_by_id = {row.row: row for row in page.rows}
+        self._record_epoch(row_by_id.get(EPOCH_ROW), now_ms)
+        renewal = row_by_id.get(RENEWAL_ROW)
         if renewal is None:
-            self._watch.record_renewal(ABSENT, None, self._heard(), now_ms)
+            self._monitor.record_renewal(ABSENT, None, self._last_heartbeat(), now_ms)
         else:
             renewed_ms = int(renewal.value) if renewal.value.isdigit() else None
-            self._watch.record_renewal(
-                renewal.version, renewed_ms, self._heard(), now_ms
+            self._monitor.record_renewal(
+                renewal.version, renewed_ms, self._last_heartbeat(), now_ms
             )
         return True
 
-    def _heard(self) -> LastHeartbeat:
-        return LastHeartbeat(self._leader, self._heard_ms, self._heard_clock_ms)
+    def _last_heartbeat(self) -> LastHeartbeat:
+        return LastHeartbeat(
+            self._leader, self._last_heartbeat_ms, self._last_heartbeat_clock_ms
+        )
 
-    def _note_epoch(self, row: StoredRow | None, now_ms: int) -> None:
+    def _record_epoch(self, row: StoredRow | None, now_ms: int) -> None:
         if row is None:
             return
         try:
             leader = parse_row(row.value, LeaderRow)
         except InvalidInputError as error:
             logs.log_event("row_unreadable", row="epoch", reason=error.message)
-            leader = self._watch.row
-        self._watch.record_row(leader, row.version, now_ms)
+            leader = self._monitor.row
+        self._monitor.record_row(leader, row.version, now_ms)
 
-    async def _is_unheard(self) -> bool:
-        """Whether most instances have not heard the leader for long."""
-        if self._clock.now_ms() - self._heard_ms < MAJORITY_HEARTBEAT_TIMEOUT_MS:
+    async def _is_unheard_by_majority(self) -> bool:
+        """Whether most instances have not received a heartbeat for too long."""
+        if (
+            self._clock.now_ms() - self._last_heartbeat_ms
+            < MAJORITY_HEARTBEAT_TIMEOUT_MS
+        ):
             return False
         others = [
             member.instance_id
@@ -376,11 +390,11 @@
         return 2 * (1 + unheard) > len(self._members)
 
     def _rank(self) -> int:
-        """Return how many instances try before this one."""
+        """Return how many candidates try a takeover earlier, at most MAX_RANK."""
 
         def score(member: Member) -> tuple[int, int, str]:
-            # While instances are stopped and started in turn, the newest one is the
-            # last to be stopped again.
+            # During a rolling restart the newest instance is the last to be stopped
+            # again.
             return -member.strength, -member.row_version, member.instance_id
 
         own = score(
@@ -397,43 +411,43 @@
         return min(rank, MAX_RANK)
 
     async def _yield_to_stronger(self) -> None:
-        """Give the lead to a much stronger instance that answers."""
-        self._looked_for_stronger = True
+        """Release the lead if a much stronger instance replies."""
+        self._has_checked_strength = True
         best = max((self._own, *self._members), key=lambda member: member.strength)
         if self._own.strength >= MIN_STRENGTH_RATIO * best.strength:
             return
         if await self._probe.ask_leader_age(best.instance_id) is not None:
-            await self._release("a stronger instance answers")
+            await self._release("a stronger instance is available")
 
-    async def _take(self) -> None:
-        epoch = self._watch.row.epoch + 1
+    async def _take_over(self) -> None:
+        epoch = self._monitor.row.epoch + 1
         self._attempted_epoch = epoch
         row = serialize_row(LeaderRow(epoch, self._instance_id))
         transaction = CommitRows(
-            (RowCheck(EPOCH_ROW, self._watch.row_version),),
+            (RowCheck(EPOCH_ROW, self._monitor.row_version),),
             (RowWrite(EPOCH_ROW, row),),
         )
         try:
             answer = await self._store.ask(transaction)
         except WriteOutcomeUnknownError:
-            # The next look at the rows tells whether it took effect.
+            # The next read of the rows shows whether the takeover took effect.
             return
         except TableError as error:
             logs.log_event("lead_not_taken", epoch=epoch, code=error.code)
             return
-        await self._begin(epoch, answer.version)
+        await self._begin_lead(epoch, answer.version)
 
-    async def _begin(self, epoch: int, row_version: int) -> None:
-        self._watch.row = LeaderRow(epoch, self._instance_id)
-        self._watch.row_version = row_version
+    async def _begin_lead(self, epoch: int, row_version: int) -> None:
+        self._monitor.row = LeaderRow(epoch, self._instance_id)
+        self._monitor.row_version = row_version
         self._attempted_epoch = 0
         self._own_epoch = epoch
-        self._led_from_ms = self._confirmed_ms = self._clock.now_ms()
-        self._looked_for_stronger = False
-        self._renewed_ms = self._clock.now_ms()
-        self._beat_ms = 0
-        self._follow(self._watch.row)
-        await self._lead()
+        self._leading_since_ms = self._confirmed_ms = self._clock.now_ms()
+        self._has_checked_strength = False
+        self._renewal_sent_ms = self._clock.now_ms()
+        self._heartbeat_sent_ms = 0
+        self._follow(self._monitor.row)
+        await self._maintain_lead()
         await self._scheduler.ask(LeadershipAcquired(epoch, row_version))
 
     def _follow(self, row: LeaderRow) -> None:
@@ -441,15 +455,15 @@
             return
         if self._own_epoch and row.epoch > self._own_epoch:
             epoch = self._own_epoch
-            self._lose("another instance leads")
+            self._mark_lost("another instance leads")
             self._scheduler.tell(LeadershipEnded(epoch, "another instance leads"))
         self._leader = row
         self._tell(LeaderChanged(row.leader_id, row.epoch))
 
-    def _lose(self, reason: str) -> None:
+    def _mark_lost(self, reason: str) -> None:
         logs.log_event("lead_lost", epoch=self._own_epoch, reason=reason)
         epoch, self._own_epoch = self._own_epoch, 0
-        self._heard_ms = self._clock.now_ms()
+        self._last_heartbeat_ms = self._clock.now_ms()
         if self._leader.leader_id == self._instance_id:
             self._leader = LeaderRow(epoch, "")
             self._tell(LeaderChanged("", epoch))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who leads, and when another instance takes the lead."""
+"""Tests of leader election: takeover, handover and release of the lead."""
 
 from __future__ import annotations
 
@@ -38,42 +38,47 @@
 
 
 class Recorder(Actor):
-    """Stands for the scheduler, the peers and the subscribers."""
+    """Fake scheduler, peers and subscriber that records the messages it receives.
+
+    Attributes:
+        received: The recorded messages; for messages to peers, their content.
+        alive: Ids of the instances that reply to calls.
+    """
 
     def __init__(self):
         super().__init__()
-        self.heard = []
+        self.received = []
         self.alive = set()
 
     @handles(LeadershipAcquired)
-    async def _take(self, message: LeadershipAcquired) -> None:
-        self.heard.append(message)
+    async def _leadership_acquired(self, message: LeadershipAcquired) -> None:
+        self.received.append(message)
 
     @handles(LeadershipEnded)
-    async def _down(self, message: LeadershipEnded) -> None:
-        self.heard.append(message)
+    async def _leadership_ended(self, message: LeadershipEnded) -> None:
+        self.received.append(message)
 
     @handles(RenewLeadership)
-    async def _renew(self, message: RenewLeadership) -> None:
-        self.heard.append(message)
+    async def _renew_leadership(self, message: RenewLeadership) -> None:
+        self.received.append(message)
 
     @handles(LeaderChanged)
-    async def _known(self, message: LeaderChanged) -> None:
-        self.heard.append(message)
+    async def _leader_changed(self, message: LeaderChanged) -> None:
+        self.received.append(message)
 
     @handles(LeaderBeat)
-    async def _beat(self, message: LeaderBeat) -> None:
+    async def _leader_beat(self, message: LeaderBeat) -> None:
         return None
 
     @handles(TellPeers)
-    async def _tell(self, message: TellPeers) -> None:
-        self.heard.append(message.message)
+    async def _tell_peers(self, message: TellPeers) -> None:
+        self.received.append(message.message)
 
     @handles(CallPeer)
-    async def _call(self, message: CallPeer) -> object:
+    async def _call_peer(self, message: CallPeer) -> object:
         if message.instance_id in self.alive:
             return LeaderAge(1, 0)
-        raise OwnerUnreachableError("nobody answers")
+        raise OwnerUnreachableError("the instance refuses connections")
 
 
 def members(**strength_by_id):
@@ -105,42 +110,42 @@
     store.apply(CommitRows((), (row, RowWrite(RENEWAL_ROW, b"0"))))
 
 
-async def until(condition, timeout_s=4.0):
+async def wait_until(condition, timeout_s=4.0):
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def took(recorder, epoch):
+def has_taken_lead(recorder, epoch):
     return any(
-        isinstance(heard, LeadershipAcquired) and heard.epoch == epoch
-        for heard in recorder.heard
+        isinstance(message, LeadershipAcquired) and message.epoch == epoch
+        for message in recorder.received
     )
 
 
 def test_first_instance_takes_an_unheld_lead():
-    # Guards against a system in which nobody leads after its first start.
+    # Guards against a cluster without a leader after its first start.
     async def run():
         store = MemoryRowStore()
         async with instance(store) as (_, recorder):
-            await until(lambda: took(recorder, 1))
+            await wait_until(lambda: has_taken_lead(recorder, 1))
 
     asyncio.run(run())
 
 
 def test_leader_that_no_longer_writes_is_replaced():
-    # Guards against jobs that wait for a leader without power.
+    # Guards against jobs that wait for a leader that has lost power.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (_, recorder):
-            await until(lambda: took(recorder, 5))
+            await wait_until(lambda: has_taken_lead(recorder, 5))
 
     asyncio.run(run())
 
 
 def test_leader_that_is_heard_keeps_the_lead():
-    # Guards against takeovers from a leader that works.
+    # Guards against takeovers from a leader that sends heartbeats.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "b")
@@ -148,13 +153,13 @@
             for _ in range(20):
                 leadership.tell(LeaderBeat(4, "b"))
                 await asyncio.sleep(0.1)
-            assert not took(recorder, 5)
+            assert not has_taken_lead(recorder, 5)
 
     asyncio.run(run())
 
 
 def test_leader_that_writes_and_is_not_heard_here_keeps_the_lead():
-    # Guards against an instance that is cut off and takes the lead from all others.
+    # Guards against a takeover by an instance that alone receives no heartbeats.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "b")
@@ -165,98 +170,99 @@
                     CommitRows((), (RowWrite(RENEWAL_ROW, str(number).encode()),))
                 )
                 await asyncio.sleep(0.1)
-            assert not took(recorder, 5)
+            assert not has_taken_lead(recorder, 5)
 
     asyncio.run(run())
 
 
-def test_leader_that_starts_again_goes_on_at_once():
-    # Guards against waiting for a standstill after all instances were killed.
+def test_restarted_leader_leads_again_at_once():
+    # Guards against waiting for the renewal to stall after all instances were killed.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "a")
         async with instance(store) as (_, recorder):
-            await until(lambda: took(recorder, 5), 0.6)
+            await wait_until(lambda: has_taken_lead(recorder, 5), 0.6)
 
     asyncio.run(run())
 
 
-def test_lead_that_was_given_up_is_taken_at_once():
-    # Guards against a pause after each planned stop of the leader.
+def test_released_lead_is_taken_over_at_once():
+    # Guards against a time without a leader after each planned stop of the leader.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "")
         async with instance(store) as (leadership, recorder):
             leadership.tell(LeaderLeft(4))
-            await until(lambda: took(recorder, 5), 0.6)
+            await wait_until(lambda: has_taken_lead(recorder, 5), 0.6)
 
     asyncio.run(run())
 
 
-def test_takeover_whose_answer_was_lost_is_taken_up():
-    # Guards against a row that names a leader who does not know of it; each such
-    # takeover cost seconds on a slow store.
+def test_takeover_whose_response_was_lost_is_completed():
+    # Guards against an instance that the store names as leader but that does not know
+    # that its takeover took effect; each such takeover cost seconds on a slow store.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "")
         store.mode = "lost"
         async with instance(store) as (_, recorder):
-            await until(lambda: store.commits == 1)
-            await until(lambda: took(recorder, 5))
+            await wait_until(lambda: store.commits == 1)
+            await wait_until(lambda: has_taken_lead(recorder, 5))
             assert parse_row(store.rows[EPOCH_ROW].value, LeaderRow).epoch == 5
 
     asyncio.run(run())
 
 
-def test_leader_that_only_others_reach_the_store_for_hands_over():
-    # Guards against a leader that writes through relays, each of them slow.
+def test_leader_that_reaches_the_store_only_through_relays_releases_the_lead():
+    # Guards against a leader that writes only through relays, which are slow.
     async def run():
         store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
-            await until(lambda: took(recorder, 1))
+            await wait_until(lambda: has_taken_lead(recorder, 1))
             leadership.tell(StorePathStatus(False, False))
             leadership.tell(StorePathStatus(False, True))
-            await until(lambda: LeaderLeft(1) in recorder.heard)
+            await wait_until(lambda: LeaderLeft(1) in recorder.received)
             await asyncio.sleep(0.3)
-            assert not took(recorder, 2)
+            assert not has_taken_lead(recorder, 2)
 
     asyncio.run(run())
 
 
 def test_leader_keeps_the_lead_when_a_relay_answers_first_after_an_outage():
-    # Guards against a hand-over, 0.8 s without a leader, because the first answer after
-    # an outage of the whole store came through a relay (kbwb-arrears trouble-3).
+    # Guards against a handover, with 0.8 s without a leader, because the first response
+    # after an outage of the whole store came through a relay (kbwb-arrears trouble-3).
     async def run():
         store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
-            await until(lambda: took(recorder, 1))
+            await wait_until(lambda: has_taken_lead(recorder, 1))
             leadership.tell(StorePathStatus(False, False))
             await asyncio.sleep(0.5)
             leadership.tell(StorePathStatus(False, True))
             await asyncio.sleep(0.4)
             leadership.tell(StorePathStatus(True, False))
             await asyncio.sleep(0.5)
-            assert LeaderLeft(1) not in recorder.heard
+            assert LeaderLeft(1) not in recorder.received
 
     asyncio.run(run())
 
 
-def test_renewal_older_than_the_last_beat_counts_as_standstill_since_then():
-    # Guards against 0.4 s more without a leader after each loss of one: the row was
-    # only watched from the end of the silence on (ledgerwell-accounts-grown trouble-3).
+def test_renewal_older_than_the_last_heartbeat_counts_as_stalled_since_then():
+    # Guards against 0.4 s more without a leader after each failure of a leader: the
+    # renewal row counted as stalled only from the heartbeat time-out on
+    # (ledgerwell-accounts-grown trouble-3).
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "b")
         async with instance(store) as (leadership, recorder):
             leadership.tell(LeaderBeat(4, "b", 1_000))
             store.apply(CommitRows((), (RowWrite(RENEWAL_ROW, b"990"),)))
-            await until(lambda: took(recorder, 5), 0.85)
+            await wait_until(lambda: has_taken_lead(recorder, 5), 0.85)
 
     asyncio.run(run())
 
 
-def test_leader_that_renews_after_its_last_beat_is_kept():
-    # Guards against replacing a leader that this instance alone does not hear.
+def test_leader_that_renews_after_its_last_heartbeat_keeps_the_lead():
+    # Guards against replacing a leader whose heartbeats only this instance misses.
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "b")
@@ -266,13 +272,13 @@
                 await asyncio.sleep(0.3)
                 value = str(renewed_ms).encode()
                 store.apply(CommitRows((), (RowWrite(RENEWAL_ROW, value),)))
-            assert not took(recorder, 5)
+            assert not has_taken_lead(recorder, 5)
 
     asyncio.run(run())
 
 
 def test_strongest_instance_takes_the_lead_first():
-    # Guards against a leader with a slow link while there are better ones.
+    # Guards against a leader with a slow link while stronger instances exist.
     async def run():
         store = MemoryRowStore()
         known = members(a=100, b=2_000)
@@ -280,15 +286,15 @@
             instance(store, "a", known=known) as (_, weak),
             instance(store, "b", known=known) as (_, strong),
         ):
-            await until(lambda: took(strong, 1))
-            assert not took(weak, 1)
+            await wait_until(lambda: has_taken_lead(strong, 1))
+            assert not has_taken_lead(weak, 1)
 
     asyncio.run(run())
 
 
 def test_newest_of_equal_instances_takes_the_lead_first():
-    # Guards against a lead that moves with every step of a rolling restart, because
-    # the successor is the next to be stopped (recorded day inc-3ecb).
+    # Guards against a change of leader at every step of a rolling restart, because the
+    # successor is the next instance to be stopped (recorded day inc-3ecb).
     async def run():
         store = MemoryRowStore()
         known = (
@@ -299,14 +305,14 @@
             instance(store, "a", known=known) as (_, old),
             instance(store, "b", known=known) as (_, new),
         ):
-            await until(lambda: took(new, 1))
-            assert not took(old, 1)
+            await wait_until(lambda: has_taken_lead(new, 1))
+            assert not has_taken_lead(old, 1)
 
     asyncio.run(run())
 
 
 def test_slow_store_gives_the_leader_more_time():
-    # Guards against takeovers that chase each other while renewals take a second.
+    # Guards against repeated takeovers while each renewal takes a second.
     class SlowRows(MemoryRowStore):
         @handles(ReadRows)
         async def _read(self, message: ReadRows) -> RowsPage:
@@ -321,42 +327,42 @@
                 await asyncio.sleep(1.0)
                 renewal = RowWrite(RENEWAL_ROW, str(number).encode())
                 store.apply(CommitRows((), (renewal,)))
-            assert not took(recorder, 5)
+            assert not has_taken_lead(recorder, 5)
 
     asyncio.run(run())
 
 
-def test_leader_that_knows_no_other_instance_goes_on():
-    # Guards against a process that ends because it leads before it has read the
-    # list of members (hunt-a8c3-39 of kbwb-arrears).
+def test_leader_that_knows_no_other_instance_continues_to_lead():
+    # Guards against a process that exits because it leads before it has read the list
+    # of members (hunt-a8c3-39 of kbwb-arrears).
     async def run():
         store = MemoryRowStore()
         write_leader(store, 4, "")
         async with instance(store) as (leadership, recorder):
             leadership.tell(MembersChanged(()))
-            await until(lambda: took(recorder, 5))
+            await wait_until(lambda: has_taken_lead(recorder, 5))
             await asyncio.sleep(1.7)
-            assert not any(isinstance(m, LeadershipEnded) for m in recorder.heard)
+            assert not any(isinstance(m, LeadershipEnded) for m in recorder.received)
 
     asyncio.run(run())
 
 
 def test_leader_steps_down_when_it_hears_of_a_newer_one():
-    # Guards against two leaders that both go on.
+    # Guards against two instances that both continue to lead.
     async def run():
         store = MemoryRowStore()
         async with instance(store) as (leadership, recorder):
-            await until(lambda: took(recorder, 1))
+            await wait_until(lambda: has_taken_lead(recorder, 1))
             leadership.tell(LeaderBeat(2, "b"))
-            await until(
-                lambda: any(isinstance(m, LeadershipEnded) for m in recorder.heard)
+            await wait_until(
+                lambda: any(isinstance(m, LeadershipEnded) for m in recorder.received)
             )
 
     asyncio.run(run())
 
 
 def lose_connection_to_a_leader(alive, known=None):
-    """Return whether an instance leads 0.25 s after a connection of its leader ends."""
+    """Return whether an instance leads 0.25 s after its leader's connection ends."""
 
     async def run():
         store = MemoryRowStore()
@@ -367,22 +373,22 @@
             await asyncio.sleep(0.05)
             leadership.tell(PeerDisconnected("b"))
             await asyncio.sleep(0.25)
-            return took(recorder, 2)
+            return has_taken_lead(recorder, 2)
 
     return asyncio.run(run())
 
 
 def test_leader_whose_process_has_ended_is_replaced_at_once():
-    # Guards against waiting for a standstill of a leader that refuses connections, on a
-    # slow store 1.6 s (kbwb-arrears-grown trouble-2).
+    # Guards against waiting for the renewal to stall when the leader already refuses
+    # connections, which took 1.6 s on a slow store (kbwb-arrears-grown trouble-2).
     assert lose_connection_to_a_leader(alive=set())
 
 
 def test_leader_whose_connections_were_reset_stays():
-    # Guards against a takeover for each connection that the network resets.
+    # Guards against a takeover whenever the network resets a connection.
     assert not lose_connection_to_a_leader(alive={"b"})
 
 
 def test_leader_that_cannot_be_called_back_stays():
-    # Guards against taking an instance for ended whose address is not known yet.
+    # Guards against treating an instance as ended while its address is still unknown.
     assert not lose_connection_to_a_leader(set(), members(a=1_000, c=1_000))
