--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -1,4 +1,4 @@
-"""A lead: what exists only while this instance leads, and how it is carried out."""
+"""State of the leader, and execution of the actions that this state requests."""
 
 from __future__ import annotations
 
@@ -54,23 +54,24 @@
     serialize_row,
 )
 
-# Events of the same moment are planned for together.
+# Delay before planning, so that events that arrive together share one plan.
 PLAN_DELAY_MS = 2
-# A leader that the store has not confirmed for this long extends no lease, so a
-# successor knows when the runs of workers that it cannot reach have ended.
+# A leader that the store has not confirmed for this long extends no lease of a worker.
+# A successor can therefore compute when the runs of unreachable workers have ended.
 GRANT_LIMIT_MS = 3_500
-# Beyond the time that the advisor is expected to take. A line without power costs the
-# step this much, and an urgent step has some 700 ms to spare.
+# Added to the expected duration of advisor calls to get the time-out of a call. A
+# channel through an instance without power delays the step by this much, and an urgent
+# step has some 700 ms to spare.
 ADVICE_MARGIN_MS = 500
 
 
 @attrs.frozen
 class LeaderDurations:
-    """How long leases of workers last.
+    """Durations that every leader uses.
 
     Attributes:
-        worker_lease_ms: Length of the leases that every leader grants.
-        status_retention_ms: How long callers may ask for a job that has ended.
+        worker_lease_ms: Length of the leases that a leader grants to workers.
+        status_retention_ms: How long the state of an ended job can be queried.
     """
 
     worker_lease_ms: int
@@ -79,7 +80,13 @@
 
 @attrs.frozen
 class EndsToAcknowledge:
-    """Ends of one life of a worker up to a number."""
+    """Run ends of one incarnation of a worker that can be acknowledged.
+
+    Attributes:
+        worker_id: The worker.
+        born_unix_ms: Start time of the incarnation, which identifies it.
+        number: Highest number of the run ends; all up to it are acknowledged.
+    """
 
     worker_id: str
     born_unix_ms: int
@@ -88,25 +95,27 @@
 
 @attrs.define
 class LeaderState:
-    """What exists only while this instance leads.
+    """State that exists only while this instance leads.
+
+    Times are monotonic.
 
     Attributes:
         epoch: Number of the leadership.
-        stack: Owns the commits.
-        commits: Writes the rows.
+        stack: Stops the commit controller when the leadership ends.
+        commits: Writes rows to the store.
         state: Jobs, workers and runs.
-        planner: Gives tasks to workers.
-        supervisor: Watches runs.
-        link_by_worker: The connections to the workers.
-        pending_submission_by_job: The jobs that are being stored.
-        roster: Workers that the store knows as possible holders of runs.
-        recovered_workers: Those of them that an earlier leader has used.
+        planner: Assigns tasks to workers.
+        supervisor: Monitors runs.
+        link_by_worker: Links to the workers, by worker id.
+        pending_submission_by_job: Submissions that are being stored, by job id.
+        roster: Ids of the workers that are stored as possible holders of runs.
+        recovered_workers: Ids of the workers in the roster of an earlier leader.
         reachable: Whether writes reach the store.
-        is_renewing: Whether a renewal of the lead is on its way.
+        is_renewing: Whether a renewal of the lead is being written.
         grant_until_ms: Until when leases of workers may be extended.
-        plan_scheduled: Whether a plan is about to be made.
-        alert_until_ms: Until when listings wait only shortly.
-        last_purge_ms: When ended jobs were last dropped.
+        plan_scheduled: Whether the planner is about to run.
+        alert_until_ms: Until when listings use the shortened wait.
+        last_purge_ms: When ended jobs were last removed.
         last_load_log_ms: When the load was last logged.
     """
 
@@ -132,17 +141,17 @@
 
 
 class LeaderActionExecutor(Actor):
-    """Base class that carries out what the state of a lead asks for.
+    """Base class that executes the actions that the state of the leader requests.
 
     Args:
         instance_id: Id of this instance.
         store: Reads and writes rows.
-        peers: Reaches the other instances.
-        advisor: Asks the placement advisor from this instance.
-        connect: Makes the client of a worker.
-        terms: How long leases last.
-        clock: Monotonic time.
-        metrics: Counters.
+        peers: Sends messages to the other instances.
+        advisor: Calls the placement advisor from this instance.
+        connect: Creates the client of a worker.
+        terms: Durations of leases and of the retention of ended jobs.
+        clock: Monotonic and Unix time.
+        metrics: Counters and timings.
     """
 
     def __init__(
@@ -173,16 +182,16 @@
         self._leadership: Actor | None = None
 
     def connect(self, directory: Actor, leadership: Actor) -> None:
-        """Set the controllers that are built after this one."""
+        """Set the controllers that are constructed after the scheduler."""
         self._directory = directory
         self._leadership = leadership
 
     def _schedule_plan(self, lead: LeaderState) -> None:
         if not lead.plan_scheduled:
             lead.plan_scheduled = True
-            self.spawn(self._plan_soon(lead))
+            self.spawn(self._plan_after_delay(lead))
 
-    async def _plan_soon(self, lead: LeaderState) -> None:
+    async def _plan_after_delay(self, lead: LeaderState) -> None:
         await asyncio.sleep(PLAN_DELAY_MS / 1000)
         lead.plan_scheduled = False
         if self._lead is lead:
@@ -191,7 +200,7 @@
             self._perform_actions(lead)
 
     def _perform_actions(self, lead: LeaderState) -> None:
-        """Store what has changed and send whatever the state asks for."""
+        """Store the changed jobs and execute the actions that the state requests."""
         if self._lead is not lead:
             return
         starts = []
@@ -199,10 +208,10 @@
             if isinstance(action, StartRun):
                 starts.append(action)
             else:
-                self._perform_one(lead, action)
+                self._perform_action(lead, action)
         self._save_changed_jobs(lead, None, starts)
 
-    def _perform_one(self, lead: LeaderState, action: StepAction) -> None:
+    def _perform_action(self, lead: LeaderState, action: StepAction) -> None:
         if isinstance(action, AskAdvice):
             self.spawn(self._ask_advice(lead, action))
             return
@@ -233,7 +242,7 @@
             worker = lead.state.worker_by_id.get(action.worker_id)
             order = action.order
             if link is None or worker is None or worker.fence != action.fence:
-                # The listing under the new fence has shown that it is not there.
+                # The listing under the newer fence showed that this run is absent.
                 continue
             run = worker.run_by_task.get((order.task, order.run))
             if run is None:
@@ -252,22 +261,22 @@
         state = lead.state.worker_by_id.get(action.worker_id)
         if state is None:
             return
-        is_inherited = action.worker_id in lead.recovered_workers
+        is_recovered = action.worker_id in lead.recovered_workers
         if action.worker_id not in lead.roster:
             lead.roster = lead.roster | {action.worker_id}
             await self._save_roster(lead)
         if self._lead is not lead or action.worker_id in lead.link_by_worker:
             return
-        await self._add_link(lead, state.worker, action.fence, is_inherited)
+        await self._add_link(lead, state.worker, action.fence, is_recovered)
 
     async def _add_link(
-        self, lead: LeaderState, worker: StepWorker, fence: int, is_inherited: bool
+        self, lead: LeaderState, worker: StepWorker, fence: int, is_recovered: bool
     ) -> None:
-        expired_ms = 0
-        if is_inherited:
-            # An earlier leader that is still at work may renew leases for this
-            # long, and each of them lasts on the worker's own clock.
-            expired_ms = (
+        earliest_expiry_ms = 0
+        if is_recovered:
+            # An earlier leader that still runs may extend leases for GRANT_LIMIT_MS,
+            # and each lease then expires by the worker's own clock.
+            earliest_expiry_ms = (
                 self._clock.now_ms()
                 + GRANT_LIMIT_MS
                 + self._terms.worker_lease_ms * 11 // 10
@@ -279,7 +288,7 @@
             self._clock,
             self._terms.worker_lease_ms,
             fence,
-            expired_ms,
+            earliest_expiry_ms,
         )
         lead.link_by_worker[worker.worker_id] = link
         link.on_fatal = self.on_fatal
@@ -302,15 +311,15 @@
         ends: EndsToAcknowledge | None,
         starts: Sequence[StartRun] = (),
     ) -> asyncio.Task[None] | None:
-        """Store the jobs that changed, then let go what waits for that.
+        """Store the changed jobs, then send the messages that depend on the write.
 
         Args:
-            lead: The lead.
-            ends: The ends of a worker that this covers, or None.
-            starts: Starts of which the store must know.
+            lead: State of the leadership.
+            ends: Run ends to acknowledge to the worker after the write, or None.
+            starts: Run starts to send to workers after the write.
 
         Returns:
-            A task that ends once all is stored, or None if nothing is to be.
+            A task that ends after the write, or None if there is nothing to do.
         """
         changed = lead.state.pop_changed_jobs()
         if not changed and ends is None and not starts:
@@ -338,7 +347,7 @@
             return
         if self._lead is not lead:
             return
-        self._show_states(lead, states)
+        self._publish_states(lead, states)
         if ends is not None:
             link = lead.link_by_worker.get(ends.worker_id)
             if link is not None:
@@ -346,7 +355,7 @@
         if starts:
             self._send_starts(lead, starts)
 
-    def _show_states(
+    def _publish_states(
         self, lead: LeaderState, states: list[tuple[JobProgress, StepJobState]]
     ) -> None:
         for progress, state in states:
@@ -373,7 +382,7 @@
         )
         advice: StepAdvice | None = None
         is_reached = True
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         try:
             if chosen == self._instance_id:
                 advice = await self._advisor.ask(request)
@@ -382,7 +391,7 @@
                 advice = await self._peers.ask(CallPeer(chosen, request, timeout_ms))
         except MarjoramgradeError as error:
             now_ms = self._clock.now_ms()
-            channels.avoid(chosen, now_ms - began_ms, now_ms)
+            channels.avoid(chosen, now_ms - started_ms, now_ms)
             is_reached = isinstance(error, AdvisorError)
             logs.log_event(
                 "advice_failed", job=action.job_id, by=chosen, code=error.code
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -1,4 +1,4 @@
-"""What the leadership, the directory and the workers tell the leader."""
+"""Handlers of events that leadership, directory and workers report to the leader."""
 
 from __future__ import annotations
 
@@ -50,28 +50,29 @@
     RENEWAL_ROW,
 )
 
-# After a call to a worker that went unanswered, all listings wait only shortly.
+# After a worker did not respond to a call, all listings use the shortened wait for this
+# long.
 ALERT_MS = 5_000
 
 
 class LeaderEventHandler(LeaderActionExecutor):
-    """Base class that takes over what others report while this instance leads."""
+    """Base class that applies reported events while this instance leads."""
 
     async def on_stop(self) -> None:
-        """End the leadership, if there is one."""
-        await self._end_lead("the instance stops")
+        """End the leadership if this instance leads."""
+        await self._end_lead("the instance is stopping")
 
     @handles(LeadershipAcquired)
-    async def _take_lead(self, message: LeadershipAcquired) -> Any:
-        await self._end_lead("a newer leadership of this instance")
+    async def _leadership_acquired(self, message: LeadershipAcquired) -> Any:
+        await self._end_lead("this instance acquired a newer leadership")
         return self.spawn(self._begin_lead(message))
 
     async def _begin_lead(self, message: LeadershipAcquired) -> None:
-        inheritance = await read_recovered_state(self._store)
+        recovered = await read_recovered_state(self._store)
         state = StepState(message.epoch, self._config, self._evacuated_zones)
         planner = Planner(state, AdvisorChannels(self._instance_id))
         check = RowCheck(EPOCH_ROW, message.row_version)
-        versions = dict(inheritance.version_by_row)
+        versions = dict(recovered.version_by_row)
         commits = CommitController(
             self._store,
             message.epoch,
@@ -88,7 +89,7 @@
             message.epoch, stack, commits, state, planner, Supervisor(state, planner)
         )
         lead.grant_until_ms = self._clock.now_ms() + GRANT_LIMIT_MS
-        self._restore(lead, inheritance)
+        self._restore(lead, recovered)
         self._lead = lead
         self._watch_workers(True)
         logs.log_event(
@@ -96,24 +97,24 @@
             epoch=message.epoch,
             jobs=len(state.job_by_id),
             open=len(state.open_job_by_id),
-            workers=len(inheritance.roster),
+            workers=len(recovered.roster),
         )
         self._perform_actions(lead)
 
-    def _restore(self, lead: LeaderState, inheritance: RecoveredState) -> None:
+    def _restore(self, lead: LeaderState, recovered: RecoveredState) -> None:
         now_ms, unix_ms = self._clock.now_ms(), self._clock.unix_ms()
-        for worker in inheritance.roster:
+        for worker in recovered.roster:
             lead.state.add_worker(worker)
         lead.roster = lead.recovered_workers = frozenset(lead.state.worker_by_id)
-        for row, record in inheritance.jobs:
+        for row, record in recovered.jobs:
             job = row.job
             # An instance that has just started may lead before it has read the
-            # configuration.
+            # configuration; the job's row then supplies the queue.
             queue = self._config.queue_by_name.get(job.queue, row.queue)
             lead.state.restore_job(job, queue, record, now_ms, unix_ms)
 
     @handles(LeadershipEnded)
-    async def _step_down(self, message: LeadershipEnded) -> None:
+    async def _leadership_ended(self, message: LeadershipEnded) -> None:
         if self._lead is not None and self._lead.epoch == message.epoch:
             await self._end_lead(message.reason)
             if self._leadership is not None:
@@ -126,8 +127,8 @@
         logs.log_event("lead_ended", epoch=lead.epoch, reason=reason)
         self._watch_workers(False)
         for link in lead.link_by_worker.values():
-            # Calls of the old leadership are refused by fence; nothing waits for
-            # them.
+            # Workers refuse calls of an ended leadership by their fencing token, so
+            # the links can stop in the background.
             self.spawn(link.stop())
         lead.link_by_worker.clear()
         self.spawn(lead.stack.aclose())
@@ -150,21 +151,21 @@
             lead.is_renewing = False
 
     @handles(LeadershipConfirmed)
-    async def _confirmed(self, message: LeadershipConfirmed) -> None:
+    async def _leadership_confirmed(self, message: LeadershipConfirmed) -> None:
         lead = self._lead
         if lead is None or lead.epoch != message.epoch:
             return
         if self._leadership is not None:
             self._leadership.tell(message)
         until_ms = message.asked_ms + GRANT_LIMIT_MS
-        # Telling every link at each write would cost more than the writes.
+        # Telling every link after each write would cost more than the writes.
         if until_ms - lead.grant_until_ms >= GRANT_LIMIT_MS // 16:
             lead.grant_until_ms = until_ms
             for link in lead.link_by_worker.values():
                 link.tell(AllowLeaseRenewal(until_ms))
 
     @handles(StoreReachability)
-    async def _store_changed(self, message: StoreReachability) -> None:
+    async def _store_reachability_changed(self, message: StoreReachability) -> None:
         if self._lead is not None:
             self._lead.reachable = message.reachable
 
@@ -197,7 +198,7 @@
         }
 
     @handles(WorkersChanged)
-    async def _workers_listed(self, message: WorkersChanged) -> None:
+    async def _workers_changed(self, message: WorkersChanged) -> None:
         lead = self._lead
         if lead is None:
             return
@@ -211,10 +212,10 @@
                     zone=worker.zone,
                     cpu=worker.capacity.cpu_millis,
                 )
-        self._drop_departed(lead)
+        self._remove_departed_workers(lead)
         self._perform_actions(lead)
 
-    def _drop_departed(self, lead: LeaderState) -> None:
+    def _remove_departed_workers(self, lead: LeaderState) -> None:
         for worker_id, state in list(lead.state.worker_by_id.items()):
             if state.listed or state.run_by_task or state.synced:
                 continue
@@ -225,12 +226,12 @@
             logs.log_event("worker_left", worker=worker_id)
 
     @handles(WorkerListingReceived)
-    async def _worker_listed(self, message: WorkerListingReceived) -> None:
+    async def _listing_received(self, message: WorkerListingReceived) -> None:
         lead = self._lead
         worker = lead and lead.state.worker_by_id.get(message.worker_id)
         if lead is None or not worker:
             return
-        had_synced = worker.synced
+        was_synced = worker.synced
         lead.state.listed(
             worker,
             message.listing,
@@ -239,7 +240,7 @@
             self._clock.now_ms(),
             self._clock.unix_ms(),
         )
-        if worker.synced and not had_synced:
+        if worker.synced and not was_synced:
             logs.log_event(
                 "worker_synced",
                 worker=message.worker_id,
@@ -258,7 +259,7 @@
                 ),
             )
         self._perform_actions(lead)
-        if worker.synced and not had_synced:
+        if worker.synced and not was_synced:
             self._schedule_plan(lead)
 
     @handles(WorkerCallUnanswered)
@@ -269,10 +270,13 @@
         worker = lead.state.worker_by_id.get(message.worker_id)
         if worker is not None:
             worker.has_unanswered_call = True
-        self._alert(lead)
+        self._shorten_listing_waits(lead)
 
-    def _alert(self, lead: LeaderState) -> None:
-        """Let all links look more often; what one worker loses others lose too."""
+    def _shorten_listing_waits(self, lead: LeaderState) -> None:
+        """Shorten the listing waits of all links for ALERT_MS.
+
+        When calls to one worker are lost, calls to other workers are often lost too.
+        """
         until_ms = self._clock.now_ms() + ALERT_MS
         if until_ms - lead.alert_until_ms < ALERT_MS // 4:
             return
@@ -281,7 +285,7 @@
             link.tell(ShortenListingWaits(until_ms))
 
     @handles(WorkerUnresponsive)
-    async def _worker_silent(self, message: WorkerUnresponsive) -> None:
+    async def _worker_unresponsive(self, message: WorkerUnresponsive) -> None:
         lead = self._lead
         worker = lead and lead.state.worker_by_id.get(message.worker_id)
         if lead is None or not worker:
@@ -293,11 +297,11 @@
         if message.expired:
             lead.state.expire_worker(worker)
             self._schedule_plan(lead)
-            self._drop_departed(lead)
+            self._remove_departed_workers(lead)
         self._perform_actions(lead)
 
     @handles(RunStartResult)
-    async def _start_answered(self, message: RunStartResult) -> None:
+    async def _start_result_received(self, message: RunStartResult) -> None:
         lead = self._lead
         if lead is None:
             return
@@ -308,12 +312,12 @@
             )
         elif message.outcome is StartOutcome.UNKNOWN:
             state.record_start_unknown(message.worker_id, message.task, message.run)
-            self._alert(lead)
+            self._shorten_listing_waits(lead)
         else:
-            self._start_refused(lead, message)
+            self._handle_refused_start(lead, message)
         self._perform_actions(lead)
 
-    def _start_refused(self, lead: LeaderState, message: RunStartResult) -> None:
+    def _handle_refused_start(self, lead: LeaderState, message: RunStartResult) -> None:
         run = lead.state.start_refused(message.worker_id, message.task, message.run)
         if run is None:
             return
@@ -328,7 +332,7 @@
         if message.reason == "ticket":
             run.step.tickets.discard_ticket(message.worker_id)
         elif worker is not None and worker.synced:
-            # Whatever the worker has is not what this leader believes.
+            # The worker's runs differ from what this leader assumes.
             worker.suspicion.mark_suspect(self._clock.now_ms())
             lead.state.request_sync(worker)
         self._schedule_plan(lead)
--- a/marjoramgrade/controllers/leaderrecovery.py
+++ b/marjoramgrade/controllers/leaderrecovery.py
@@ -1,4 +1,4 @@
-"""Reads what earlier leaders have left in the store."""
+"""Reads the state that earlier leaders stored."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     parse_row,
 )
 
-# Between attempts while the store does not answer.
+# Delay between read attempts while the store does not respond.
 RETRY_MS = 100
 
 
 @attrs.frozen
 class RecoveredState:
-    """Jobs, workers and row versions that an earlier leader has left.
+    """Jobs, workers and row versions that earlier leaders stored.
 
     Attributes:
-        jobs: Each job with its queue, and its progress.
+        jobs: Pairs of a job with its queue, and the progress of the job.
         roster: Workers that may have runs.
         version_by_row: Versions of all rows that were read.
     """
@@ -44,7 +44,7 @@
 
 
 async def read_recovered_state(store: Actor) -> RecoveredState:
-    """Read the rows of the leadership, trying again until the store answers."""
+    """Read the stored state, retrying until the store responds."""
     while True:
         try:
             return await _read(store)
@@ -87,7 +87,7 @@
     while True:
         page = await store.ask(ReadRows(table, LEADER_PART, first))
         for row in page.rows:
-            # A further page begins with the last row of the one before.
+            # Each further page begins with the last row of the previous page.
             if row.row.key != first:
                 yield row
         if not page.more or not page.rows:
