--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -1,4 +1,4 @@
-"""Decides whether the balancer should send new connections here."""
+"""Decides whether the load balancer should send new connections to this instance."""
 
 from __future__ import annotations
 
@@ -11,27 +11,31 @@
 from marjoramgrade.messages.steps import LeaderBeat, LeaderChanged, StepConfigChanged
 
 POLL_MS = 200
-# An instance that has not heard a leader for this long sends its callers to others:
-# two beats may be lost or late. The balancer needs two looks, one second apart, to
-# notice; where all instances are without a leader it uses them all the same.
+# An instance without a heartbeat of a leader for this long is not ready, and clients
+# connect to other instances; two heartbeats may be lost or late. The load balancer
+# reacts after two checks, one second apart. If no instance is ready, it uses all.
 HEARTBEAT_TIMEOUT_MS = 450
-# A leader that is heard but that the store has not confirmed for this long takes no
-# jobs: it may be cut off together with this instance. It renews its lead three times
-# in that time.
+# A leader whose heartbeats arrive but that the store has not confirmed for this long
+# accepts no jobs: it may be cut off from the store together with this instance. It
+# renews its lead three times in that time.
 CONFIRMATION_TIMEOUT_MS = 1_000
 
 
 class ReadinessSignal(Protocol):
-    """What the balancer looks at."""
+    """Readiness signal that the load balancer checks.
+
+    Attributes:
+        is_ready: Whether new connections should come to this instance.
+    """
 
     is_ready: bool
 
 
 class ReadinessController(Actor):
-    """Owns the sign that the balancer looks at.
+    """Sets the readiness signal that the load balancer checks.
 
     Args:
-        signal: The sign.
+        signal: The readiness signal.
         clock: Monotonic time.
     """
 
@@ -41,10 +45,10 @@
         self._clock = clock
         self._has_config = False
         self._leader_id = ""
-        self._heard_ms = self._confirmed_ms = clock.now_ms()
+        self._last_heartbeat_ms = self._confirmed_ms = clock.now_ms()
 
     async def on_start(self) -> None:
-        """Start to look."""
+        """Start to update the readiness signal."""
         self.spawn_critical(self._run())
 
     @handles(StepConfigChanged)
@@ -52,26 +56,26 @@
         self._has_config = True
 
     @handles(LeaderChanged)
-    async def _leader_known(self, message: LeaderChanged) -> None:
+    async def _leader_changed(self, message: LeaderChanged) -> None:
         self._leader_id = message.leader_id
-        self._heard_ms = self._confirmed_ms = self._clock.now_ms()
+        self._last_heartbeat_ms = self._confirmed_ms = self._clock.now_ms()
 
     @handles(LeaderBeat)
-    async def _beat(self, message: LeaderBeat) -> None:
-        self._heard_ms = self._clock.now_ms()
-        self._confirmed_ms = self._heard_ms - message.confirmed_age_ms
+    async def _heartbeat_received(self, message: LeaderBeat) -> None:
+        self._last_heartbeat_ms = self._clock.now_ms()
+        self._confirmed_ms = self._last_heartbeat_ms - message.confirmed_age_ms
 
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(POLL_MS / 1000)
             now_ms = self._clock.now_ms()
-            unheard_ms = now_ms - self._heard_ms
+            unheard_ms = now_ms - self._last_heartbeat_ms
             unconfirmed_ms = now_ms - self._confirmed_ms
-            is_led = (
+            has_leader = (
                 unheard_ms < HEARTBEAT_TIMEOUT_MS
                 and unconfirmed_ms < CONFIRMATION_TIMEOUT_MS
             )
-            ready = self._has_config and is_led
+            ready = self._has_config and has_leader
             if ready != self._signal.is_ready:
                 self._signal.is_ready = ready
                 logs.log_event(
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""When the balancer is asked for new connections."""
+"""Tests of the readiness signal for the load balancer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.define
 class Signal:
-    """What the balancer looks at."""
+    """Readiness signal that a test reads instead of the load balancer."""
 
     is_ready: bool = False
 
@@ -36,7 +36,7 @@
         yield signal, controller
 
 
-async def beat_for(controller, duration_ms, confirmed_age_ms):
+async def send_heartbeats(controller, duration_ms, confirmed_age_ms):
     loop = asyncio.get_running_loop()
     end_s = loop.time() + duration_ms / 1000
     while loop.time() < end_s:
@@ -45,34 +45,35 @@
 
 
 def test_an_instance_is_ready_while_the_store_confirms_its_leader():
-    # Guards against a balancer that avoids instances which could serve.
+    # Guards against a load balancer that avoids instances that could serve.
     async def run():
         async with readiness() as (signal, controller):
-            await beat_for(controller, 2 * POLL_MS, 100)
+            await send_heartbeats(controller, 2 * POLL_MS, 100)
             assert signal.is_ready
 
     asyncio.run(run())
 
 
-def test_callers_go_elsewhere_when_the_leader_is_cut_off_together_with_them():
-    # Guards against a zone whose callers are refused for as long as it is cut off,
-    # because its instances still hear a leader that cannot reach the store.
+def test_an_instance_is_not_ready_when_the_store_does_not_confirm_its_leader():
+    # Guards against a zone that refuses its clients for as long as it is cut off,
+    # because its instances still receive heartbeats of a leader that cannot reach the
+    # store.
     async def run():
         async with readiness() as (signal, controller):
-            await beat_for(controller, 2 * POLL_MS, 100)
-            await beat_for(controller, 2 * POLL_MS, CONFIRMATION_TIMEOUT_MS)
+            await send_heartbeats(controller, 2 * POLL_MS, 100)
+            await send_heartbeats(controller, 2 * POLL_MS, CONFIRMATION_TIMEOUT_MS)
             assert not signal.is_ready
-            await beat_for(controller, 2 * POLL_MS, 100)
+            await send_heartbeats(controller, 2 * POLL_MS, 100)
             assert signal.is_ready
 
     asyncio.run(run())
 
 
-def test_callers_go_elsewhere_when_no_leader_is_heard():
-    # Guards against callers who are sent to an instance that nobody leads.
+def test_an_instance_is_not_ready_without_heartbeats_of_a_leader():
+    # Guards against clients that are sent to an instance without a leader.
     async def run():
         async with readiness() as (signal, controller):
-            await beat_for(controller, 2 * POLL_MS, 100)
+            await send_heartbeats(controller, 2 * POLL_MS, 100)
             await asyncio.sleep((HEARTBEAT_TIMEOUT_MS + 2 * POLL_MS) / 1000)
             assert not signal.is_ready
 
