--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -1,4 +1,7 @@
-"""The configuration: pulled, pushed, changed and confirmed as current."""
+"""The configuration: read, announced to peers, changed and confirmed as current.
+
+A promise is a peer's time-limited guarantee that it makes no changes.
+"""
 
 from __future__ import annotations
 
@@ -55,7 +58,7 @@
 
     Args:
         store: Typed access to the table.
-        peers: Reaches the other entry instances.
+        peers: Sends messages to the other entry instances.
         authority: Controller of the promises.
         clock: Monotonic time.
         metrics: Counters.
@@ -85,7 +88,7 @@
         self._reading: asyncio.Task[None] | None = None
 
     async def on_start(self) -> None:
-        """Begin to read the table at intervals."""
+        """Start reading the table at intervals."""
         self.spawn_critical(self._read_forever())
 
     @handles(GetConfig)
@@ -93,13 +96,13 @@
         return self._confirmed()
 
     @handles(ConfigPushed)
-    async def _pushed(self, message: ConfigPushed) -> None:
+    async def _config_pushed(self, message: ConfigPushed) -> None:
         if message.version > self._versions.current.version:
             self.spawn(self._read())
 
     @handles(ConfigAttested)
-    async def _attested(self, message: ConfigAttested) -> None:
-        """Rely on the promises of all members while the table is unreachable."""
+    async def _config_attested(self, message: ConfigAttested) -> None:
+        """Extend the lease by all members' promises while the table is unreachable."""
         if message.version == self._versions.current.version:
             self._freshness.confirm(message.asked_ms)
             self._publish()
@@ -118,7 +121,7 @@
             await asyncio.sleep(READ_INTERVAL_MS / 1000)
 
     async def _read(self) -> None:
-        """Read the table; only an answer that is not older confirms."""
+        """Read the table; an older version than the current one confirms nothing."""
         asked_ms = self._clock.now_ms()
         try:
             stored = await self._store.read_config()
@@ -133,7 +136,7 @@
         self._adopt(stored, asked_ms)
 
     def _adopt(self, stored: StoredConfig, asked_ms: int) -> None:
-        """Take over a configuration that was current at `asked_ms` or later."""
+        """Adopt a configuration that was current at `asked_ms` or later."""
         try:
             is_newer = self._versions.accept_if_newer(stored.config)
         except MarjoramgradeError:
@@ -166,7 +169,7 @@
         return KeyGranted(key, message.secret, config.version)
 
     async def _commit_change(self, message: ChangeConfig) -> Config:
-        """Commit a change, unless a promise to change nothing is in force."""
+        """Commit a change unless a promise to make no changes is in force."""
         write_id = uuid.uuid4().hex
         await self._authority.ask(BeginWrite(write_id))
         try:
@@ -184,7 +187,7 @@
         return changed
 
     async def _rebase_and_write(self, message: ChangeConfig, write_id: str) -> Config:
-        """Apply a change to the newest version, again after each racing change."""
+        """Apply a change to the newest version; retry after each conflicting change."""
         base_version = message.expected_version
         for _ in range(REBASE_ATTEMPTS):
             asked_ms = self._clock.now_ms()
@@ -209,16 +212,16 @@
             self._peers.tell(TellPeers(ConfigPushed(changed.version)))
             return changed
         raise ConflictError(
-            "the configuration changes too fast",
+            "the configuration was changed concurrently during every attempt",
             expected_version=stored.config.version,
             current_version=stored.config.version,
         )
 
     async def _resolve_write(self, write_id: str) -> None:
-        """Make sure that a write with an unknown outcome takes no effect later.
+        """Ensure that a write with an unknown outcome cannot take effect later.
 
         Every transaction checks the version of the row, so any later version
-        makes the lost one fail.
+        makes the unresolved write fail.
         """
         while True:
             await asyncio.sleep(READ_INTERVAL_MS / 1000)
--- a/marjoramgrade/controllers/ownership.py
+++ b/marjoramgrade/controllers/ownership.py
@@ -1,4 +1,9 @@
-"""Ownership of the shards of this instance's zone."""
+"""Ownership of the shards of this instance's zone.
+
+A promise is a peer's time-limited guarantee that it makes no changes. While the
+table is unreachable, the promises of a shard's standbys or of all members extend its
+ownership.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +48,16 @@
 
 @attrs.define
 class _ShardState:
-    """What this instance knows of one shard."""
+    """State of one shard as known to this instance.
+
+    Attributes:
+        row: The shard row as last read or written.
+        version: Version of the row in the table.
+        watch: The lease of another owner, as observed by polling.
+        lease: This instance's own lease, or None if it does not own the shard.
+        fence_version: Version of the row that the last takeover wrote.
+        unresolved_writes: Ids of takeover writes that may still take effect.
+    """
 
     row: ShardRow
     version: int = 0
@@ -58,7 +72,7 @@
 
     Args:
         instance_id: This instance.
-        zone: Its zone.
+        zone: Zone of this instance.
         shards: Names of the zone's shards.
         store: Typed access to the table.
         authority: Controller of the promises.
@@ -87,17 +101,17 @@
         self._metrics = metrics
         self._subscribers = tuple(subscribers)
         self._state_by_shard = {name: _ShardState(ShardRow(name)) for name in shards}
-        self._guardians: tuple[str, ...] = (instance_id,)
+        self._standbys: tuple[str, ...] = (instance_id,)
         self._is_releasing = False
 
     async def on_start(self) -> None:
-        """Begin to watch every shard of the zone."""
+        """Start polling or renewing every shard of the zone."""
         for shard in self._state_by_shard:
-            self.spawn_critical(self._keep(shard))
+            self.spawn_critical(self._maintain(shard))
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
-        self._guardians = tuple(
+        self._standbys = tuple(
             sorted(m.instance_id for m in message.members if m.zone == self._zone)
         )
 
@@ -107,19 +121,19 @@
         return self.spawn(self._release_all())
 
     @handles(OwnershipAttested)
-    async def _attested(self, message: OwnershipAttested) -> None:
-        """Extend a lease by promises; one that has lapsed stays so."""
+    async def _ownership_attested(self, message: OwnershipAttested) -> None:
+        """Extend a lease by promises, unless it has lapsed."""
         lease = self._state_by_shard[message.shard].lease
         if lease is not None and lease.holds(self._clock.now_ms()):
             lease.until_ms = max(lease.until_ms, message.until_ms)
             self._publish(message.shard, lease)
 
-    async def _keep(self, shard: str) -> None:
+    async def _maintain(self, shard: str) -> None:
         state = self._state_by_shard[shard]
         while not self._is_releasing:
             try:
                 if state.lease is None:
-                    await self._watch(state)
+                    await self._poll_lease(state)
                 else:
                     await self._renew(state, state.lease)
             except MarjoramgradeError:
@@ -130,7 +144,7 @@
             )
             await asyncio.sleep(interval_ms / 1000)
 
-    async def _watch(self, state: _ShardState) -> None:
+    async def _poll_lease(self, state: _ShardState) -> None:
         stored = await self._store.read_shard(state.row.shard)
         state.row, state.version = stored.row, stored.version
         now_ms = self._clock.now_ms()
@@ -138,11 +152,11 @@
         if not state.watch.may_take_over(now_ms) or self._is_releasing:
             return
         if await self._authority.ask(MayTakeOverShard(stored.row)):
-            await self._take(state)
+            await self._take_over(state)
         else:
             self._metrics.retried("takeover_not_acknowledged")
 
-    async def _take(self, state: _ShardState) -> None:
+    async def _take_over(self, state: _ShardState) -> None:
         write_id = uuid.uuid4().hex
         try:
             await self._authority.ask(BeginWrite(write_id))
@@ -151,7 +165,7 @@
             return
         state.unresolved_writes.append(write_id)
         asked_ms = self._clock.now_ms()
-        row = state.row.taken_over_by(self._instance_id, self._guardians)
+        row = state.row.taken_over_by(self._instance_id, self._standbys)
         try:
             state.version = await self._store.take_over_shard(row, state.version)
         except CheckFailedError:
@@ -174,7 +188,7 @@
 
     async def _renew(self, state: _ShardState, lease: HeldLease) -> None:
         asked_ms = self._clock.now_ms()
-        row = state.row.renewed(self._guardians)
+        row = state.row.renewed(self._standbys)
         self._authority.tell(
             ShardStandbysSet(row.shard, row.guardians, is_proposed=True)
         )
@@ -191,30 +205,30 @@
         self._publish(row.shard, lease)
 
     def _resolve_writes(self, state: _ShardState) -> None:
-        """Tell that no earlier takeover write can take effect any more.
+        """Report that no earlier takeover write can take effect any more.
 
-        A definite answer to a later write settles earlier ones, which checked
-        the same version of the row or an older one.
+        A definite response to a later write resolves the earlier writes, which
+        checked the same version of the row or an older version.
         """
         for write_id in state.unresolved_writes:
             self._authority.tell(EndWrite(write_id))
         state.unresolved_writes.clear()
 
     async def _resolve_conflict(self, state: _ShardState, lease: HeldLease) -> None:
-        """Adopt an own renewal whose answer was lost, or accept the loss."""
+        """Adopt a renewal whose response was lost, or end the ownership."""
         stored = await self._store.read_shard(state.row.shard)
         is_own = stored.row.owner == self._instance_id
         if is_own and stored.row.epoch == lease.epoch:
             state.row, state.version = stored.row, stored.version
             return
-        self._lose(state, lease)
+        self._end_ownership(state, lease)
 
     def _expire(self, state: _ShardState) -> None:
         lease = state.lease
         if lease is not None and not lease.holds(self._clock.now_ms()):
-            self._lose(state, lease)
+            self._end_ownership(state, lease)
 
-    def _lose(self, state: _ShardState, lease: HeldLease) -> None:
+    def _end_ownership(self, state: _ShardState, lease: HeldLease) -> None:
         lease.revoke()
         state.lease = None
         state.watch = ObservedLease()
@@ -226,7 +240,7 @@
         for state in self._state_by_shard.values():
             if state.lease is None:
                 continue
-            self._lose(state, state.lease)
+            self._end_ownership(state, state.lease)
             try:
                 await self._store.write_shard(state.row.released(), state.version)
             except TableError:
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -1,4 +1,4 @@
-"""What goes on while the platform is unreachable, for all or for one zone."""
+"""Tests what still works when all zones or one zone cannot reach the platform."""
 
 import asyncio
 import json
@@ -17,8 +17,8 @@
 IN_FORCE_MS = 8_000
 
 
-async def _check(cell: Cell, plan: EntryPlan, secret: str, service: str) -> str:
-    """Send an idempotent request and return `done` or the code of the error."""
+async def _run_request(cell: Cell, plan: EntryPlan, secret: str, service: str) -> str:
+    """Send an idempotent request and return `done` or the error code."""
     answer = await cell.fetch(
         f"{plan.url}/v1/run/{service}",
         "POST",
@@ -43,7 +43,7 @@
 def test_an_outage_of_the_platform_stops_only_what_needs_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against running work that ends because nobody reaches the table."""
+    """Guards against running work that ends because the table is unreachable."""
 
     async def run() -> None:
         async with Cell(tmp_path, workers_per_zone=1) as cell:
@@ -64,7 +64,7 @@
             while time.monotonic() < until:
                 for plan in (first, second):
                     outcomes.append(
-                        await _check(cell, plan, secret, "charity-accounts")
+                        await _run_request(cell, plan, secret, "charity-accounts")
                     )
                 await asyncio.sleep(0.1)
             assert set(outcomes) == {"done"}
@@ -88,7 +88,7 @@
 def test_a_zone_that_is_cut_off_serves_what_needs_no_fresh_authority(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against keys that go on working where a withdrawal cannot arrive."""
+    """Guards against withdrawn keys that still work in a zone that is cut off."""
 
     async def run() -> None:
         async with Cell(
@@ -97,18 +97,20 @@
             secret = (await cell.seed({TEAM: {}}))[TEAM]
             await cell.wait_for_shards()
             plan = cell.entry_by_id["leeds-entry-1"]
-            withdrawing = cell.entry_by_id["manchester-entry-1"].url
-            # An instance may change the configuration only once it is admitted, which
-            # it may not be yet if it started later than the others.
-            await cell.put(f"{withdrawing}/v1/zones/manchester", {"state": "in"})
+            withdrawing_url = cell.entry_by_id["manchester-entry-1"].url
+            # An instance may change the configuration only after its admission, which
+            # may still be pending if the instance started later than the others.
+            await cell.put(f"{withdrawing_url}/v1/zones/manchester", {"state": "in"})
             cut = [name for name in cell.entry_by_id if name.startswith("leeds")]
             await cell.control_platform(cut=cut)
             cut_at = time.monotonic()
-            withdrawn = await cell.fetch(f"{withdrawing}/v1/keys/{TEAM}-key", "DELETE")
+            withdrawn = await cell.fetch(
+                f"{withdrawing_url}/v1/keys/{TEAM}-key", "DELETE"
+            )
             assert withdrawn.code == 200
 
             async def is_refused() -> bool:
-                outcome = await _check(cell, plan, secret, "charity-accounts")
+                outcome = await _run_request(cell, plan, secret, "charity-accounts")
                 return outcome in ("stale_authority", "unauthenticated")
 
             await cell.wait_until(is_refused, IN_FORCE_MS / 1000)
