--- a/marjoramgrade/controllers/grantmanager.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -1,7 +1,7 @@
-"""Keeps one holder's grants of the team limits in step with the table.
+"""Synchronizes one holder's grants of the team limits with the table.
 
-A controller owns a keeper and asks it before each start. Two holders exist for
-each shard: one for tasks and one for requests.
+A controller owns a manager and queries it before each start. Each shard has two
+holders: one for tasks and one for requests.
 """
 
 from __future__ import annotations
@@ -25,25 +25,27 @@
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.store import Store, StoredGrants
 
-# One transaction a second for each holder, and sooner when work waits for grant.
+# Each holder refreshes in one transaction per second, or sooner when work waits for
+# grant.
 REFRESH_INTERVAL_MS = 1_000
 UNMET_DEMAND_INTERVAL_MS = 200
-# Unused grant returns to the pool after this time, where other shards find it.
+# Unused grant returns to the pool after this time, so that other shards can
+# allocate it.
 UNUSED_GRANT_TIMEOUT_MS = 2_000
-# A team that is refused at each refresh asks for twice as much as before, up to
-# this many times one refusal. Asking for one task a transaction starts 5 tasks/s;
-# what is taken too much returns after IDLE_MS.
+# A team that was refused before each refresh doubles its request, up to this
+# multiple of the refused amount. Requesting one task per transaction would start
+# only 5 tasks/s; excess grant returns after UNUSED_GRANT_TIMEOUT_MS.
 MAX_DEMAND_MULTIPLIER = 64
 
 
 @attrs.define
 class _Demand:
-    """What a team lacked, and since when it has had more than it used.
+    """Grant that a team was refused, and since when it has had unused grant.
 
     Attributes:
-        wanted: The largest amount that was refused since the last refresh.
-        step: How many such amounts the next refresh asks for.
-        idle_since_ms: Since when the team has had more than it used.
+        wanted: Largest amount refused since the last refresh.
+        step: Multiple of `wanted` that the next refresh requests.
+        idle_since_ms: Time since which the team has had unused grant, or None.
     """
 
     wanted: Resources = ZERO_RESOURCES
@@ -51,7 +53,7 @@
     idle_since_ms: int | None = None
 
     def pop_wanted_amount(self) -> Resources:
-        """Return what to ask for now; the next refusal asks for more."""
+        """Return the amount to request now and set the multiple for the next one."""
         asked = self.wanted.scaled(self.step, 1)
         is_refused = self.wanted != ZERO_RESOURCES
         self.step = min(2 * self.step, MAX_DEMAND_MULTIPLIER) if is_refused else 1
@@ -60,7 +62,7 @@
 
 
 class GrantManager:
-    """The grants of one holder under one epoch.
+    """Manages the grants of one holder under one epoch.
 
     Args:
         holder: Name of the holder in the grants rows.
@@ -78,7 +80,7 @@
         self._store = store
         self._clock = clock
         self._metrics = metrics
-        self._book = HeldGrants(holder, epoch)
+        self._held_grants = HeldGrants(holder, epoch)
         self._config = Config()
         self._read_version = 0
         self._config_version_by_team: dict[str, int] = {}
@@ -87,22 +89,22 @@
         self._is_refreshing = False
 
     def set_config(self, config: Config) -> None:
-        """Take over the limits in force."""
+        """Apply the limits of a configuration."""
         self._config = config
 
     def may_use(self, team: str, amount: Resources, in_use: Resources) -> bool:
         """Return whether a team may use an amount on top of what it uses.
 
-        A refusal is remembered, so that the next refresh asks for more.
+        A refused amount is recorded, so that the next refresh requests it.
         """
         if self._limit_of(team) == ZERO_RESOURCES:
             return True
-        self._book.set_reserved(team, in_use)
-        if amount.fits(self._book.headroom(team)):
+        self._held_grants.set_reserved(team, in_use)
+        if amount.fits(self._held_grants.headroom(team)):
             return True
         demand = self._demand_by_team.setdefault(team, _Demand())
-        # One task at a time would allow one start for each refresh. Asking for as
-        # much as is in use doubles the grant until it covers the demand.
+        # Requesting one task at a time would allow one start per refresh. Requesting
+        # as much as is in use doubles the grant until it covers the demand.
         growth = combine(
             lambda need, use: max(need, use) if need else 0, amount, in_use
         )
@@ -110,13 +112,13 @@
         return False
 
     def excess(self, team: str, in_use: Resources) -> Resources:
-        """Return by how much a team is above a limit that was lowered."""
+        """Return by how much a team exceeds a limit that was lowered."""
         if self._limit_of(team) == ZERO_RESOURCES:
             return ZERO_RESOURCES
-        self._book.set_reserved(team, in_use)
-        row = self._book.row(team)
+        self._held_grants.set_reserved(team, in_use)
+        row = self._held_grants.row(team)
         is_claimed = row is not None and self._holder in row.epoch_by_shard
-        return self._book.excess(team) if is_claimed else ZERO_RESOURCES
+        return self._held_grants.excess(team) if is_claimed else ZERO_RESOURCES
 
     def is_due(self, now_ms: int) -> bool:
         """Return whether `refresh` should run now."""
@@ -131,19 +133,19 @@
     async def refresh(
         self, in_use_by_team: Mapping[str, Resources], *, is_reconciled: bool
     ) -> None:
-        """Read the rows, then claim, take, return and confirm in one transaction.
+        """Read the rows, then claim, allocate, return and confirm in one transaction.
 
         Args:
-            in_use_by_team: What each team uses at this holder.
-            is_reconciled: Whether every use is known; before that nothing is
-                given back or confirmed.
+            in_use_by_team: Resources that each team uses at this holder.
+            is_reconciled: Whether all use is known; until then no grant is
+                returned or confirmed.
         """
         self._is_refreshing = True
         self._next_refresh_ms = self._clock.now_ms() + REFRESH_INTERVAL_MS
         try:
             await self._read()
             for team, in_use in in_use_by_team.items():
-                self._book.set_reserved(team, in_use)
+                self._held_grants.set_reserved(team, in_use)
             await self._write(self._plan(is_reconciled))
         except MarjoramgradeError:
             self._metrics.retried("grants_table_error")
@@ -161,11 +163,11 @@
         self._read_version = max(self._read_version, page.version)
 
     def _observe(self, stored: StoredGrants) -> None:
-        self._book.observe(stored.row, stored.version)
+        self._held_grants.observe(stored.row, stored.version)
         self._config_version_by_team[stored.row.team] = stored.config_version
 
     def _plan(self, is_reconciled: bool) -> list[StoredGrants]:
-        """Return the rows to write, at most one step for each team."""
+        """Return the rows to write, at most one change per team."""
         planned = []
         for team in self._config.teams_by_name.values():
             row = self._next_row(team, is_reconciled)
@@ -174,19 +176,20 @@
             config_version = max(
                 self._config_version_by_team.get(team.name, 0), self._config.version
             )
-            version = self._book.version(team.name)
+            version = self._held_grants.version(team.name)
             planned.append(StoredGrants(row, version, config_version))
         return planned
 
     def _next_row(self, team: Team, is_reconciled: bool) -> GrantsRow | None:
         name = team.name
-        row = self._book.row(name)
+        row = self._held_grants.row(name)
         demand = self._demand_by_team.setdefault(name, _Demand())
         wanted = demand.pop_wanted_amount()
         if row is None:
             return GrantsRow(name, team.limit) if team.limit != ZERO_RESOURCES else None
-        if self._book.is_pending(name):
-            # Writing the row unchanged makes the earlier write fail for good.
+        if self._held_grants.is_pending(name):
+            # Writing the row unchanged raises its version, so that the pending write
+            # can no longer take effect.
             return row
         is_newer = self._config.version > self._config_version_by_team.get(name, 0)
         if is_newer and row.limit != team.limit:
@@ -196,26 +199,29 @@
         try:
             return self._next_step(name, demand, wanted, is_reconciled)
         except NotOwnerError:
-            # A later owner has claimed the grant; this holder is about to learn.
+            # A later owner has claimed the grant; this holder has not been notified
+            # of the change of owner yet.
             return None
 
     def _next_step(
         self, name: str, demand: _Demand, wanted: Resources, is_reconciled: bool
     ) -> GrantsRow | None:
-        claimed = self._book.begin_claim(name)
+        claimed = self._held_grants.begin_claim(name)
         if claimed is not None:
             return claimed
-        lacking = self._book.wanted(name, wanted)
+        lacking = self._held_grants.wanted(name, wanted)
         if lacking != ZERO_RESOURCES:
             demand.idle_since_ms = None
-            return self._book.begin_allocate(name, lacking)
+            return self._held_grants.begin_allocate(name, lacking)
         if not is_reconciled:
             return None
-        return self._book.begin_confirm(name) or self._return_idle(name, demand)
+        return self._held_grants.begin_confirm(name) or self._return_unused(
+            name, demand
+        )
 
-    def _return_idle(self, name: str, demand: _Demand) -> GrantsRow | None:
+    def _return_unused(self, name: str, demand: _Demand) -> GrantsRow | None:
         now_ms = self._clock.now_ms()
-        if positive_part(self._book.headroom(name)) == ZERO_RESOURCES:
+        if positive_part(self._held_grants.headroom(name)) == ZERO_RESOURCES:
             demand.idle_since_ms = None
             return None
         if demand.idle_since_ms is None:
@@ -223,7 +229,7 @@
         if now_ms < demand.idle_since_ms + UNUSED_GRANT_TIMEOUT_MS:
             return None
         demand.idle_since_ms = None
-        return self._book.begin_return(name, self._book.headroom(name))
+        return self._held_grants.begin_return(name, self._held_grants.headroom(name))
 
     async def _write(self, planned: list[StoredGrants]) -> None:
         if not planned:
@@ -231,13 +237,13 @@
         try:
             version = await self._store.write_grants(planned)
         except CheckFailedError:
-            # An earlier attempt with a lost answer may have taken effect and been
-            # overwritten since; the next read of the row shows what holds.
+            # An earlier attempt whose response was lost may have taken effect and been
+            # overwritten since; the next read returns the current row.
             self._metrics.retried("grants_conflict")
             return
         except TableUnavailableError:
             for stored in planned:
-                self._book.cancel(stored.row.team)
+                self._held_grants.cancel(stored.row.team)
             self._metrics.retried("grants_unavailable")
             return
         for stored in planned:
--- a/tests/test_grantmanager.py
+++ b/tests/test_grantmanager.py
@@ -14,23 +14,23 @@
 
 
 class UnresponsiveTable(MemoryTable):
-    """Loses transactions before they take effect, and the reads that follow."""
+    """Fails reads and transactions, which take no effect, while unresponsive."""
 
     is_unresponsive = False
 
     async def commit(self, transaction: Transaction) -> int:
         if self.is_unresponsive:
-            raise WriteOutcomeUnknownError("no answer")
+            raise WriteOutcomeUnknownError("no response")
         return await super().commit(transaction)
 
     async def changes(self, prefix: str, after: int = 0) -> RowsPage:
         if self.is_unresponsive:
-            raise WriteOutcomeUnknownError("no answer")
+            raise WriteOutcomeUnknownError("no response")
         return await super().changes(prefix, after)
 
 
 class Holder:
-    """One holder that uses as much as it may."""
+    """A holder that uses as much as its grants allow."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
 
 
 def test_holders_together_stay_within_the_limit() -> None:
-    """Guards against a limit that each shard applies for itself."""
+    """Guards against shards that each apply the whole limit on their own."""
 
     async def run() -> tuple[Holder, Holder]:
         table = MemoryTable()
@@ -74,7 +74,7 @@
 
 
 def test_a_long_queue_gets_grant_in_growing_steps() -> None:
-    """Guards against a team that starts one task for each table transaction."""
+    """Guards against a team that starts only one task per table transaction."""
 
     async def run() -> int:
         limit = Resources(cpu_millis=1_000)
@@ -87,8 +87,8 @@
     assert asyncio.run(run()) >= 250
 
 
-def test_grant_that_was_taken_too_much_returns() -> None:
-    """Guards against growing steps that keep grant from other shards."""
+def test_excess_grant_is_returned() -> None:
+    """Guards against growing requests that withhold grant from other shards."""
 
     async def run() -> Resources:
         table = MemoryTable()
@@ -107,7 +107,7 @@
 
 
 def test_unused_grant_moves_to_the_holder_that_needs_it() -> None:
-    """Guards against grant that stays where no work is left."""
+    """Guards against grant that stays with a holder that has no work left."""
 
     async def run() -> Resources:
         table = MemoryTable()
@@ -127,7 +127,7 @@
 
 
 def test_grant_grows_faster_than_by_one_task_a_refresh() -> None:
-    """Guards against a team below its limit that starts one task a refresh."""
+    """Guards against a team below its limit that starts one task per refresh."""
 
     async def run() -> Resources:
         holder = Holder("a.0", MemoryTable())
@@ -140,8 +140,8 @@
     assert asyncio.run(run()) == LIMIT
 
 
-def test_a_holder_goes_on_after_a_transaction_that_was_lost() -> None:
-    """Guards against a pending write that blocks a team for ever."""
+def test_a_holder_continues_after_a_lost_transaction() -> None:
+    """Guards against a pending write that blocks a team forever."""
 
     async def run() -> Resources:
         table = UnresponsiveTable()
