--- a/marjoramgrade/controllers/inbound.py
+++ b/marjoramgrade/controllers/inbound.py
@@ -16,15 +16,15 @@
 
 
 class InboundController(Actor):
-    """Hands each inbound message to the controller that answers it.
+    """Forwards each inbound message to the controller that handles it.
 
     Args:
         authority: Controller of the promises.
         config: Controller of the configuration.
         jobs: Controller of the jobs.
         routes: Controller of the routes.
-        dispatcher_by_shard: Controllers of the requests of the own zone's shards.
-        scheduler_by_shard: Controllers of the tasks of these shards.
+        dispatcher_by_shard: Request controllers of the shards of this zone.
+        scheduler_by_shard: Task controllers of the shards of this zone.
     """
 
     def __init__(
@@ -46,23 +46,25 @@
             TaskSummary: routes,
             InstanceSummary: routes,
         }
-        self._by_shard_by_type: dict[type[Message[Any]], Mapping[str, Actor]] = {
+        self._controller_by_shard_by_type: dict[
+            type[Message[Any]], Mapping[str, Actor]
+        ] = {
             RunRequest: dispatcher_by_shard,
             GetTasks: scheduler_by_shard,
         }
 
     @handles(InboundMessage)
     async def _inbound(self, message: InboundMessage) -> Any:
-        return self.spawn(self._find(message.message).ask(message.message))
+        return self.spawn(self._controller_for(message.message).ask(message.message))
 
-    def _find(self, message: Message[Any]) -> Actor:
+    def _controller_for(self, message: Message[Any]) -> Actor:
         controller = self._controller_by_type.get(type(message))
         if controller is not None:
             return controller
-        by_shard = self._by_shard_by_type.get(type(message))
-        if by_shard is None:
-            raise ProtocolError(f"{type(message).__name__} is not for peers")
+        controller_by_shard = self._controller_by_shard_by_type.get(type(message))
+        if controller_by_shard is None:
+            raise ProtocolError(f"{type(message).__name__} is not accepted from peers")
         assert isinstance(message, RunRequest | GetTasks)
-        if message.shard not in by_shard:
-            raise NotOwnerError(f"{message.shard} is not in this zone")
-        return by_shard[message.shard]
+        if message.shard not in controller_by_shard:
+            raise NotOwnerError(f"shard {message.shard} is not in this zone")
+        return controller_by_shard[message.shard]
--- a/marjoramgrade/controllers/instances.py
+++ b/marjoramgrade/controllers/instances.py
@@ -16,10 +16,10 @@
 
 
 class InstanceSource(Protocol):
-    """Where the list comes from."""
+    """Source of the platform's list of instances."""
 
     async def read(self) -> tuple[Instance, ...]:
-        """Return the list."""
+        """Return the current list."""
         ...
 
 
@@ -46,7 +46,7 @@
         self._instances: tuple[Instance, ...] = ()
 
     async def on_start(self) -> None:
-        """Begin to read the list."""
+        """Start reading the list at intervals."""
         self.spawn_critical(self._read_forever())
 
     @handles(GetInstances)
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -1,4 +1,4 @@
-"""The register of entry instances and the connections to them."""
+"""The registry of entry instances and the connections to them."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class MembersController(Actor):
-    """Registers this instance, reads the register and owns the peer links.
+    """Registers this instance, reads the registry and owns the peer links.
 
     Args:
         own: This instance.
         store: Typed access to the table.
         authority: Controller of the promises.
         clock: Monotonic time.
-        make_link: Makes the actor that owns the connection to a peer.
+        make_link: Creates the actor that owns the connection to a peer.
         metrics: Counters.
         subscribers: Actors that are told `MembersChanged`.
     """
@@ -77,11 +77,11 @@
         self._missing_since_ms: dict[str, int] = {}
 
     async def on_start(self) -> None:
-        """Begin to register and to read the register."""
+        """Start registering this instance and reading the registry."""
         self.spawn_critical(self._read_forever())
 
     async def on_stop(self) -> None:
-        """Leave the register and close the links."""
+        """Close the links and remove this instance from the registry."""
         for link in self._link_by_id.values():
             await link.stop()
         try:
@@ -113,15 +113,15 @@
                         self._authority.tell(PreviousIncarnationFound())
                     self._is_registered = True
                 await self._apply(await self._store.read_members())
-                await self._remove_ended()
+                await self._remove_unlisted()
             except MarjoramgradeError:
                 self._metrics.retried("members_table_error")
             await asyncio.sleep(READ_INTERVAL_MS / 1000)
 
-    async def _remove_ended(self) -> None:
-        """Remove members that the platform's list has dropped for a while.
+    async def _remove_unlisted(self) -> None:
+        """Remove members missing from the platform's list for `REMOVE_AFTER_MS`.
 
-        A list without this instance itself lags too far to be relied on.
+        A list that lacks this instance itself is too outdated to rely on.
         """
         if self._view.get(self._own.instance_id) is None:
             return
@@ -153,13 +153,13 @@
         log_event("member_removed", member=member)
 
     async def _apply(self, members: tuple[Member, ...]) -> None:
-        found = {m.instance_id: m for m in members}
-        if found == self._member_by_id:
+        member_by_id = {m.instance_id: m for m in members}
+        if member_by_id == self._member_by_id:
             return
-        log_event("members_changed", members=sorted(found))
-        self._member_by_id = found
-        for gone in set(self._link_by_id) - set(found):
-            await self._link_by_id.pop(gone).stop()
+        log_event("members_changed", members=sorted(member_by_id))
+        self._member_by_id = member_by_id
+        for removed in set(self._link_by_id) - set(member_by_id):
+            await self._link_by_id.pop(removed).stop()
         for member in members:
             is_own = member.instance_id == self._own.instance_id
             if is_own or member.instance_id in self._link_by_id:
--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -1,4 +1,4 @@
-"""Which shard takes a request or a job, from the summaries of all owners."""
+"""Routes requests and jobs to shards by the load summaries of all owners."""
 
 from __future__ import annotations
 
@@ -44,15 +44,15 @@
 from marjoramgrade.metrics import Metrics
 from marjoramgrade.model import Config, JobKind
 
-# A summary that is older than this no longer attracts work.
+# Summaries older than this are ignored.
 SUMMARY_LIFETIME_MS = 3_000
 SEND_INTERVAL_MS = 500
-# A summary that has not changed is repeated at half its lifetime, so that one
-# delay does not let it lapse.
+# An unchanged summary is sent again at half its lifetime, so that one delay does
+# not let it expire.
 REPEAT_INTERVAL_MS = 1_500
 READ_TIMEOUT_MS = 2_000
-# Failures after which another shard may answer. A backend server that ran the
-# request and failed has answered.
+# Errors after which another shard may be tried. The failure of a request that ran
+# on a backend server is the final response.
 RETRYABLE_ERRORS = (
     NoBackendError,
     NotOwnerError,
@@ -61,20 +61,20 @@
     OwnerUnreachableError,
     ShuttingDownError,
 )
-# Time kept back from the deadline for the reply's way to the caller.
+# Time reserved before the deadline for sending the response to the client.
 REPLY_MARGIN_MS = 5
-# An owner refuses a waiting request at its first tick (50 ms) after the deadline,
-# and later if its event loop lags. Its "not run" has to arrive before the deadline
-# filter gives up.
+# An owner refuses a queued request at its first tick (50 ms) after the deadline,
+# or later if its event loop lags. The refusal, which states that the request did
+# not run, has to arrive before the deadline filter times out.
 REFUSAL_GRACE_MS = 1_000
 
 
 @attrs.define
-class _Seen:
-    """A summary and when it arrived."""
+class _TimedSummary:
+    """A summary with the time at which it arrived or was last sent."""
 
     summary: Any
-    seen_ms: int
+    time_ms: int
 
 
 class RoutesController(Actor):
@@ -82,7 +82,7 @@
 
     Args:
         instance_id: This instance.
-        zone: Its zone, whose shards are preferred.
+        zone: Zone of this instance, whose shards are preferred.
         clock: Monotonic time.
         metrics: Counters.
     """
@@ -98,10 +98,10 @@
         self._peers: Actor | None = None
         self._dispatcher_by_shard: dict[str, Actor] = {}
         self._scheduler_by_shard: dict[str, Actor] = {}
-        self._dispatch_by_shard: dict[str, _Seen] = {}
-        self._tasks_by_shard: dict[str, _Seen] = {}
+        self._dispatch_by_shard: dict[str, _TimedSummary] = {}
+        self._tasks_by_shard: dict[str, _TimedSummary] = {}
         self._summary_by_instance: dict[str, InstanceSummary] = {}
-        self._sent_by_subject: dict[tuple[type, str], _Seen] = {}
+        self._sent_by_subject: dict[tuple[type, str], _TimedSummary] = {}
         self._config = Config()
         self._budget = RetryBudget()
         self._random = random.Random(instance_id)
@@ -112,13 +112,13 @@
         dispatcher_by_shard: Mapping[str, Actor],
         scheduler_by_shard: Mapping[str, Actor],
     ) -> None:
-        """Name the actors that messages are routed to; called before the start."""
+        """Set the actors that messages are routed to; called before the start."""
         self._peers = peers
         self._dispatcher_by_shard = dict(dispatcher_by_shard)
         self._scheduler_by_shard = dict(scheduler_by_shard)
 
     async def on_start(self) -> None:
-        """Begin to send the summaries of owned shards to the peers."""
+        """Start sending the summaries of owned shards to the peers."""
         self.spawn_critical(self._send_summaries())
 
     @handles(ConfigConfirmed)
@@ -127,11 +127,11 @@
 
     @handles(DispatchSummary)
     async def _dispatch_summary(self, message: DispatchSummary) -> None:
-        _keep(self._dispatch_by_shard, message, self._clock.now_ms())
+        _store_summary(self._dispatch_by_shard, message, self._clock.now_ms())
 
     @handles(TaskSummary)
     async def _task_summary(self, message: TaskSummary) -> None:
-        _keep(self._tasks_by_shard, message, self._clock.now_ms())
+        _store_summary(self._tasks_by_shard, message, self._clock.now_ms())
 
     @handles(InstanceSummary)
     async def _instance_summary(self, message: InstanceSummary) -> None:
@@ -139,8 +139,8 @@
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
-        """Keep one summary for each member; version zero until it was heard."""
-        # A new member knows no summary yet.
+        """Store one summary per member, with version zero until one arrives."""
+        # A new member has no summaries yet, so all are sent again.
         self._sent_by_subject.clear()
         self._summary_by_instance = {
             member.instance_id: self._summary_by_instance.get(
@@ -159,20 +159,20 @@
 
     @handles(RunRequest)
     async def _run(self, message: RunRequest) -> Any:
-        return self.spawn(self._run_somewhere(message))
+        return self.spawn(self._run_with_retries(message))
 
     @handles(GetTasks)
     async def _get_tasks(self, message: GetTasks) -> Any:
-        seen = self._tasks_by_shard.get(message.shard)
-        if seen is None:
-            raise OwnerUnreachableError(f"{message.shard} has no known owner")
-        if seen.summary.owner == self._instance_id:
+        timed = self._tasks_by_shard.get(message.shard)
+        if timed is None:
+            raise OwnerUnreachableError(f"shard {message.shard} has no known owner")
+        if timed.summary.owner == self._instance_id:
             return self.spawn(self._scheduler_by_shard[message.shard].ask(message))
-        return self.spawn(self._call(seen.summary.owner, message, READ_TIMEOUT_MS))
+        return self.spawn(self._call(timed.summary.owner, message, READ_TIMEOUT_MS))
 
     @handles(ChooseShard)
     async def _choose_shard(self, message: ChooseShard) -> str:
-        """Choose the less loaded of two random shards that could hold the job."""
+        """Choose the less loaded of two random shards with the capacity for the job."""
         spec = message.spec
         count = spec.tasks if spec.kind is JobKind.GANG else 1
         fitting = [
@@ -183,14 +183,14 @@
         ]
         if not fitting:
             raise OwnerUnreachableError(
-                "no shard with an owner in force could hold the job"
+                "no shard with a current owner has the capacity for the job"
             )
         choices = self._random.sample(fitting, min(2, len(fitting)))
         chosen: str = min(choices, key=lambda s: _queue_per_processor(s)).shard
         return chosen
 
-    async def _run_somewhere(self, request: RunRequest) -> RunReply:
-        """Try shards until one answers or another attempt could run it twice."""
+    async def _run_with_retries(self, request: RunRequest) -> RunReply:
+        """Try shards until one replies or a retry could run the request twice."""
         deadline_ms = self._clock.now_ms() + request.remaining_ms - REPLY_MARGIN_MS
         tried: set[str] = set()
         attempts = 0
@@ -244,7 +244,7 @@
         return await self._peers.ask(CallPeer(instance_id, message, timeout_ms))
 
     def _choose_backend_shard(self, service: str, tried: set[str]) -> DispatchSummary:
-        """Choose a shard for a request: free slots first, then the own zone."""
+        """Choose a shard for a request, preferring free slots and then this zone."""
         known: list[DispatchSummary] = [
             summary
             for summary in self._current(self._dispatch_by_shard)
@@ -257,8 +257,8 @@
         free = [s for s in untried if s.free_slots_by_service[service] > s.queued]
         if not free:
             return min(untried, key=lambda summary: summary.queued)
-        near = [s for s in free if _zone_of(s.shard) == self._zone]
-        choices = near or free
+        local = [s for s in free if _zone_of(s.shard) == self._zone]
+        choices = local or free
         return self._random.choices(
             choices, [s.free_slots_by_service[service] for s in choices]
         )[0]
@@ -266,11 +266,11 @@
     def _is_zone_in(self, shard: str) -> bool:
         return self._config.is_zone_in(_zone_of(shard))
 
-    def _current(self, seen_by_shard: Mapping[str, _Seen]) -> Iterator[Any]:
+    def _current(self, timed_by_shard: Mapping[str, _TimedSummary]) -> Iterator[Any]:
         oldest_ms = self._clock.now_ms() - SUMMARY_LIFETIME_MS
-        for seen in seen_by_shard.values():
-            if seen.seen_ms >= oldest_ms:
-                yield seen.summary
+        for timed in timed_by_shard.values():
+            if timed.time_ms >= oldest_ms:
+                yield timed.summary
 
     async def _send_summaries(self) -> None:
         while True:
@@ -278,8 +278,8 @@
             own = InstanceSummary(self._instance_id, self._zone, self._config.version)
             self._summary_by_instance[self._instance_id] = own
             self._send_if_due(self._instance_id, own)
-            for seen_by_shard in (self._dispatch_by_shard, self._tasks_by_shard):
-                for summary in self._current(seen_by_shard):
+            for timed_by_shard in (self._dispatch_by_shard, self._tasks_by_shard):
+                for summary in self._current(timed_by_shard):
                     if summary.owner == self._instance_id:
                         self._send_if_due(summary.shard, summary)
 
@@ -289,20 +289,22 @@
         key = (type(summary), subject)
         sent = self._sent_by_subject.get(key)
         is_known = sent is not None and sent.summary == summary
-        if sent and is_known and now_ms < sent.seen_ms + REPEAT_INTERVAL_MS:
+        if sent and is_known and now_ms < sent.time_ms + REPEAT_INTERVAL_MS:
             return
-        self._sent_by_subject[key] = _Seen(summary, now_ms)
+        self._sent_by_subject[key] = _TimedSummary(summary, now_ms)
         if self._peers is not None:
             self._peers.tell(TellPeers(summary))
 
 
-def _keep(
-    seen_by_shard: dict[str, _Seen], summary: DispatchSummary | TaskSummary, now_ms: int
+def _store_summary(
+    timed_by_shard: dict[str, _TimedSummary],
+    summary: DispatchSummary | TaskSummary,
+    now_ms: int,
 ) -> None:
-    """Keep a summary unless one of a newer epoch is known."""
-    known = seen_by_shard.get(summary.shard)
+    """Store a summary unless a summary of a newer epoch is known."""
+    known = timed_by_shard.get(summary.shard)
     if known is None or known.summary.epoch <= summary.epoch:
-        seen_by_shard[summary.shard] = _Seen(summary, now_ms)
+        timed_by_shard[summary.shard] = _TimedSummary(summary, now_ms)
 
 
 def _zone_of(shard: str) -> str:
--- a/marjoramgrade/controllers/watch.py
+++ b/marjoramgrade/controllers/watch.py
@@ -1,8 +1,8 @@
 """Watches: changes of jobs and of the configuration in order of version.
 
-The two sources are read by loops of their own. A change is shown once both have
-been read up to its version, so that no change with a lower version comes later
-and a watch that resumes after the last version it saw misses nothing.
+Each of the two sources is read by its own loop. A change is published once both
+have been read up to its version, so that no change with a lower version follows
+and a watch that resumes after the last version it received misses nothing.
 """
 
 from __future__ import annotations
@@ -20,19 +20,20 @@
 from marjoramgrade.messages.jobs import JobsChanged
 from marjoramgrade.messages.watches import WatchEvent
 
-# A watch that was interrupted can resume within this many changes.
+# An interrupted watch can resume if it missed at most this many changes.
 MAX_RETAINED_EVENTS = 10_000
-# A watcher that falls behind further than this starts again from a reset.
+# More unread events than this are replaced by a reset, from which the watcher
+# starts again.
 MAX_UNREAD_EVENTS = 1_000
 
 
 class Subscription:
-    """One watcher's unread events.
+    """Queue of one watcher's unread events.
 
     Args:
-        team: Show only jobs of this team; empty for all changes.
-        after: Show only changes after this version, which another instance that
-            is ahead of this one may have shown already.
+        team: Deliver only jobs of this team; empty for all changes.
+        after: Deliver only changes after this version. Changes up to this version
+            may have been delivered by an instance that is ahead of this one.
     """
 
     def __init__(self, team: str = "", after: int = 0) -> None:
@@ -43,8 +44,8 @@
         self._is_closed = False
 
     def put(self, event: WatchEvent) -> None:
-        """Add an event; a watcher that does not read gets a reset instead."""
-        if not self._is_shown(event):
+        """Add an event; too many unread events are replaced by a reset."""
+        if not self._is_selected(event):
             return
         self._unread.append(event)
         if len(self._unread) > MAX_UNREAD_EVENTS:
@@ -52,7 +53,7 @@
             self._unread.append(WatchEvent(event.version, "reset"))
         self._changed.set()
 
-    def _is_shown(self, event: WatchEvent) -> bool:
+    def _is_selected(self, event: WatchEvent) -> bool:
         if event.kind == "reset":
             return True
         if event.version <= self._after:
@@ -62,12 +63,12 @@
         return event.job is not None and event.job.spec.team == self._team
 
     def close(self) -> None:
-        """End the watch once the unread events are read."""
+        """End the watch once the unread events have been read."""
         self._is_closed = True
         self._changed.set()
 
     async def next_events(self) -> list[WatchEvent]:
-        """Wait for events and return all that are unread.
+        """Wait for events and return all unread events.
 
         Raises:
             ShuttingDownError: If the watch has ended.
@@ -84,7 +85,7 @@
 
 @attrs.frozen
 class Subscribe(Message[Subscription]):
-    """Asks for the changes after a version, or from now on if it is None."""
+    """Asks for the changes after version `after`, or from now on if it is None."""
 
     after: int | None
     team: str = ""
@@ -107,13 +108,14 @@
         self._config_version = 0
         self._jobs_read_version = 0
         self._config_read_version = 0
-        # Changes up to this version have been shown.
-        self._shown_version = 0
-        # Changes that are known and not shown yet; the number breaks ties.
-        self._held: list[tuple[int, int, WatchEvent]] = []
-        self._number = count()
-        # Changes up to this version are no longer, or were never, kept here.
-        self._forgotten_version = 0
+        # Changes up to this version have been published.
+        self._published_version = 0
+        # Heap of changes not published yet: version, sequence number that breaks
+        # ties, event.
+        self._unpublished: list[tuple[int, int, WatchEvent]] = []
+        self._sequence = count()
+        # Changes up to this version are no longer, or were never, retained here.
+        self._discarded_version = 0
 
     async def on_stop(self) -> None:
         """End every watch."""
@@ -124,31 +126,31 @@
     async def _jobs_changed(self, message: JobsChanged) -> None:
         ordered = sorted(message.jobs, key=lambda stored: stored.version)
         if not self._jobs_read_version and message.read_version and ordered:
-            # The first page shows the latest state, not the changes before it.
-            self._forgotten_version = max(self._forgotten_version, ordered[-1].version)
+            # The first page has only the latest state, not the changes before it.
+            self._discarded_version = max(self._discarded_version, ordered[-1].version)
         for stored in ordered:
             job = stored.job
-            self._hold(WatchEvent(stored.version, "job", job.job_id, job))
+            self._enqueue(WatchEvent(stored.version, "job", job.job_id, job))
         self._jobs_read_version = max(self._jobs_read_version, message.read_version)
-        self._show_held()
+        self._publish_ready()
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
         version, row_version = message.config.version, message.row_version
         if version != self._config_version:
             self._config_version = version
-            self._hold(
+            self._enqueue(
                 WatchEvent(row_version, "config", "config", config_version=version)
             )
         read_version = max(self._config_read_version, message.read_version)
         self._config_read_version = read_version
-        self._show_held()
+        self._publish_ready()
 
     @handles(Subscribe)
     async def _subscribe(self, message: Subscribe) -> Subscription:
-        if message.after is None or message.after < self._forgotten_version:
-            subscription = Subscription(message.team, self._shown_version)
-            subscription.put(WatchEvent(self._shown_version, "reset"))
+        if message.after is None or message.after < self._discarded_version:
+            subscription = Subscription(message.team, self._published_version)
+            subscription.put(WatchEvent(self._published_version, "reset"))
         else:
             subscription = Subscription(message.team, message.after)
             for event in self._events:
@@ -160,21 +162,21 @@
     async def _unsubscribe(self, message: Unsubscribe) -> None:
         self._subscriptions.discard(message.subscription)
 
-    def _hold(self, event: WatchEvent) -> None:
-        heapq.heappush(self._held, (event.version, next(self._number), event))
+    def _enqueue(self, event: WatchEvent) -> None:
+        heapq.heappush(self._unpublished, (event.version, next(self._sequence), event))
 
-    def _show_held(self) -> None:
-        """Show the changes up to the version that both sources have reached."""
+    def _publish_ready(self) -> None:
+        """Publish the changes up to the version that both sources have reached."""
         read_version = min(self._jobs_read_version, self._config_read_version)
-        while self._held and self._held[0][0] <= read_version:
-            event = heapq.heappop(self._held)[2]
-            self._shown_version = max(self._shown_version, event.version)
+        while self._unpublished and self._unpublished[0][0] <= read_version:
+            event = heapq.heappop(self._unpublished)[2]
+            self._published_version = max(self._published_version, event.version)
             self._publish(event)
 
     def _publish(self, event: WatchEvent) -> None:
         if len(self._events) == MAX_RETAINED_EVENTS:
-            forgotten = self._events[0].version
-            self._forgotten_version = max(self._forgotten_version, forgotten)
+            discarded = self._events[0].version
+            self._discarded_version = max(self._discarded_version, discarded)
         self._events.append(event)
         for subscription in self._subscriptions:
             subscription.put(event)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""When summaries go to the other entry instances."""
+"""Tests when summaries are sent to the other entry instances."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class Peers(Actor):
-    """Keeps what was told to the peers."""
+    """Records the messages sent to the peers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -31,7 +31,7 @@
 def test_an_unchanged_summary_is_repeated_only_before_it_lapses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against summaries at rest that fill the links to 21 peers."""
+    """Guards against unchanged summaries that saturate the links to 21 peers."""
     monkeypatch.setattr(routes, "SEND_INTERVAL_MS", 1)
 
     async def run() -> None:
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -21,7 +21,7 @@
 async def read_events(
     watch: WatchController, after: int | None
 ) -> list[tuple[str, int]]:
-    """Return what a watch after a version shows at once."""
+    """Return the events that a watch after a version receives at once."""
     subscription = await watch.ask(Subscribe(after))
     subscription.close()
     events = await subscription.next_events()
@@ -29,7 +29,7 @@
 
 
 def test_a_resumed_watch_gets_a_late_change_with_a_lower_version() -> None:
-    """Guards against a change that is read late and lost by a watch that resumes."""
+    """Guards against a late change that a watch misses when it resumes."""
 
     async def run() -> None:
         watch = WatchController()
@@ -45,14 +45,15 @@
                 ("config", 8),
                 ("job", 9),
             ]
-            # Without a start version, the watch begins where nothing comes late.
+            # Without a start version, the watch starts at the last published version,
+            # after which no change with a lower version follows.
             assert await read_events(watch, None) == [("reset", 9)]
 
     asyncio.run(run())
 
 
 def test_a_watch_gets_nothing_that_it_saw_from_another_instance() -> None:
-    """Guards against a change that is shown again by an instance that is behind."""
+    """Guards against a change delivered again by an instance that is behind."""
 
     async def run() -> None:
         watch = WatchController()
