--- a/marjoramgrade/decisions/versions.py
+++ b/marjoramgrade/decisions/versions.py
@@ -1,8 +1,8 @@
-"""Changes to the configuration, which is one document with one version.
+"""Changes to the configuration: a single document with a single version.
 
-`next_version` raises `Config.version` when a document is about to be written. A
-resource carries the version that its latest change was based on: whoever has read
-a document of a higher version has seen that change.
+`next_version` increments `Config.version` before a document is written. The
+document records the version that the latest change to each resource was based on:
+an operator who has read a document with a higher version has seen that change.
 """
 
 from __future__ import annotations
@@ -25,9 +25,11 @@
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?")
 DIGEST = re.compile(r"[0-9a-f]{64}")
-# A writer whose answer was lost finds its id among this many later changes.
+# Ids of recent writes stored in the document. A writer whose response was lost
+# finds its id there until this many later changes have been accepted.
 MAX_RECENT_WRITE_IDS = 64
-# Deletions that are remembered, so that a stale change revives no resource.
+# Deletions recorded in the document, so that a change based on an old version does
+# not recreate a deleted resource.
 MAX_RECORDED_DELETIONS = 256
 
 Resource = Team | Key | Zone | Service
@@ -50,16 +52,17 @@
 
 @attrs.frozen
 class Change:
-    """A change of one resource.
+    """A change to one resource.
 
     Attributes:
         kind: `teams`, `keys`, `zones` or `services`.
         name: Name of the resource.
-        resource: Its new state, or None to delete it.
+        resource: New state of the resource, or None to delete it.
         base_version: Version of the resource or of the document that the
-            operator saw, from `If-Match`, or else of the document in force when
-            the change arrived; zero if the resource must not exist yet.
-        write_id: Unique id of the change, the same for every attempt.
+            operator saw, from `If-Match`; without `If-Match`, the version of the
+            document in force when the change arrived. Zero if the resource must
+            not exist yet.
+        write_id: Unique id of the change; every attempt to write it uses this id.
     """
 
     kind: str
@@ -70,7 +73,7 @@
 
     @property
     def path(self) -> str:
-        """The path of the resource in the document."""
+        """Path of the resource in the document, such as `teams.acme`."""
         return f"{self.kind}.{self.name}"
 
 
@@ -78,19 +81,19 @@
     """Return the resources of one kind by name.
 
     Raises:
-        InvalidInputError: If there is no such kind.
+        InvalidInputError: If the kind is unknown.
     """
     if kind not in FIELD_BY_KIND:
-        raise InvalidInputError(f"no resource kind is named {kind!r}")
-    found: Mapping[str, Resource] = getattr(config, FIELD_BY_KIND[kind])
-    return found
+        raise InvalidInputError(f"unknown resource kind {kind!r}")
+    resources: Mapping[str, Resource] = getattr(config, FIELD_BY_KIND[kind])
+    return resources
 
 
 def resource_version(config: Config, kind: str, name: str) -> int:
     """Return the version of one resource, or zero if it does not exist.
 
-    It stays the same while only other resources change, and serves as the
-    `base_version` of a change of this one.
+    Changes to other resources do not affect this version. It can be the
+    `base_version` of the next change to the resource.
     """
     if name not in resources_of(config, kind):
         return 0
@@ -98,29 +101,30 @@
 
 
 def is_applied(config: Config, change: Change) -> bool:
-    """Return whether a document shows that a change was accepted."""
+    """Return whether a document lists a change among those recently accepted."""
     return change.write_id in config.recent_write_ids
 
 
 def apply_change(config: Config, change: Change) -> Config:
-    """Apply a change to the current document, whatever it was first based on.
+    """Apply a change to the current document, which may be newer than its base.
 
-    A change that raced with changes of other resources is thereby rebased; the
-    result is validated as a whole, since such a change may have removed what
-    this one refers to.
+    This rebases a change that raced with changes to other resources. The whole
+    result is validated, since a racing change may have removed a resource that
+    this change refers to.
 
     Args:
-        config: The document now in the table.
-        change: The change.
+        config: The current document in the table.
+        change: The change to apply.
 
     Returns:
-        The document to write, which still has the version of `config`.
+        The document to write; its version is still that of `config`.
 
     Raises:
         ConflictError: If the resource has changed since `base_version`.
         NotFoundError: If the resource to delete does not exist.
         SettingsError: If the result is invalid.
-        InvalidInputError: If the resource is not of the named kind.
+        InvalidInputError: If the kind is unknown, or the resource is of a different
+            kind or has a different name.
     """
     resources = dict(resources_of(config, change.kind))
     _check_base(config, change, change.name in resources)
@@ -139,7 +143,7 @@
 
 
 def next_version(config: Config) -> Config:
-    """Return a changed document with the version that it gets when written."""
+    """Return a document with its version incremented, ready to be written."""
     return attrs.evolve(config, version=config.version + 1)
 
 
@@ -162,9 +166,11 @@
 def _check_type(change: Change) -> None:
     resource = change.resource
     if not isinstance(resource, TYPE_BY_KIND[change.kind]):
-        raise InvalidInputError(f"{change.path} is of another kind")
+        raise InvalidInputError(f"the resource at {change.path} is of a different kind")
     if resource.name != change.name:
-        raise InvalidInputError(f"{change.path} has the name {resource.name!r}")
+        raise InvalidInputError(
+            f"the resource at {change.path} is named {resource.name!r}"
+        )
 
 
 def _with_history(config: Config, change: Change) -> Config:
@@ -192,7 +198,7 @@
 
 @attrs.define
 class ConfigStore:
-    """The configuration in force in this instance; it never goes back.
+    """The configuration in force in this instance; its version never decreases.
 
     Attributes:
         current: The latest accepted document.
@@ -202,17 +208,18 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether any document has been accepted since the start."""
+        """Whether a document has been accepted since the instance started."""
         return self.current.version > 0
 
     def accept_if_newer(self, config: Config) -> bool:
         """Accept a document if it is newer than the one in force.
 
         Returns:
-            Whether it was accepted.
+            Whether the document was accepted.
 
         Raises:
-            SettingsError: If it is newer and invalid; the old one stays in force.
+            SettingsError: If the document is newer but invalid; the current one
+                remains in force.
         """
         if config.version <= self.current.version:
             return False
@@ -222,10 +229,10 @@
 
 
 def check_config(config: Config) -> None:
-    """Check a whole document.
+    """Validate a whole document.
 
     Raises:
-        SettingsError: With every fault and its path.
+        SettingsError: If the document is invalid; lists every problem and its path.
     """
     problems = list(iter_problems(config))
     if problems:
@@ -233,7 +240,7 @@
 
 
 def iter_problems(config: Config) -> Iterator[SettingsProblem]:
-    """Yield every fault of a document."""
+    """Yield every problem of a document."""
     for name in CHECKS.iter_names():
         yield from CHECKS.get(name)(config)
 
@@ -245,7 +252,7 @@
             if not NAME.fullmatch(name):
                 yield SettingsProblem(f"{kind}.{name}", "the name is malformed")
             if resource.name != name:
-                reason = f"is listed under another name than {resource.name!r}"
+                reason = f"{resource.name!r} differs from the name it is listed under"
                 yield SettingsProblem(f"{kind}.{name}.name", reason)
 
 
@@ -268,13 +275,16 @@
     for name, key in config.keys_by_name.items():
         path = f"keys.{name}"
         if key.team not in config.teams_by_name:
-            yield SettingsProblem(f"{path}.team", f"no team is named {key.team!r}")
+            yield SettingsProblem(f"{path}.team", f"unknown team {key.team!r}")
         if not DIGEST.fullmatch(key.secret_sha256):
-            yield SettingsProblem(f"{path}.secret_sha256", "is no SHA-256 in hex")
+            yield SettingsProblem(
+                f"{path}.secret_sha256", "must be a SHA-256 digest in lower-case hex"
+            )
         other = name_by_digest.setdefault(key.secret_sha256, name)
         if other != name:
-            # One secret must name one team, whichever key is found first.
-            reason = f"is the secret of key {other!r} too"
+            # Keys with the same secret could belong to different teams; a lookup by
+            # secret returns only the first match.
+            reason = f"is also the secret of key {other!r}"
             yield SettingsProblem(f"{path}.secret_sha256", reason)
 
 
@@ -282,5 +292,5 @@
 def _iter_service_problems(config: Config) -> Iterator[SettingsProblem]:
     for name, service in config.services_by_name.items():
         if service.team and service.team not in config.teams_by_name:
-            reason = f"no team is named {service.team!r}"
+            reason = f"unknown team {service.team!r}"
             yield SettingsProblem(f"services.{name}.team", reason)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,14 +44,14 @@
 def put_team(
     config: Config, name: str, base_version: int | None = None, share: int = 1
 ) -> Config:
-    """Return the next document, as the table would number it."""
+    """Apply a change of a team and return the document with the next version."""
     base = config.version if base_version is None else base_version
     change = Change("teams", name, Team(name, share), base, f"w{config.version}")
     return attrs.evolve(apply_change(config, change), version=config.version + 1)
 
 
 def test_only_newer_documents_are_accepted() -> None:
-    """Guards against an accepted configuration that reverts (invariant 11)."""
+    """Guards against an accepted configuration that is reverted (invariant 11)."""
     store = ConfigStore()
     new = Config(version=7)
     assert store.accept_if_newer(new) and store.is_loaded
@@ -61,7 +61,7 @@
 
 
 def test_an_invalid_document_changes_nothing_and_names_each_fault() -> None:
-    """Guards against half-applied documents and faults without a path."""
+    """Guards against partially applied documents and problems without a path."""
     store = ConfigStore(Config(version=1))
     teams = {"t": Team("t", 0, Resources(memory_mib=-1)), "T!": Team("u")}
     keys = {"k": Key("k", "x", "ab"), "m": Key("m", "t", "ab")}
@@ -82,14 +82,14 @@
 
 
 def test_changes_of_other_resources_are_rebased() -> None:
-    """Guards against operators who block each other without need."""
+    """Guards against conflicts between changes to different resources."""
     first = put_team(Config(version=1), "a")
     both = put_team(put_team(first, "b"), "a", base_version=2)
     assert set(both.teams_by_name) == {"a", "b"}
 
 
 def test_a_racing_change_of_the_same_resource_is_a_conflict() -> None:
-    """Guards against an accepted change that another operator overwrites."""
+    """Guards against an accepted change that a racing change overwrites."""
     config = put_team(Config(version=1), "a")
     config = put_team(config, "a", share=5)
     with pytest.raises(ConflictError) as caught:
@@ -105,7 +105,7 @@
 
 
 def test_a_stale_change_does_not_revive_a_deleted_resource() -> None:
-    """Guards against a withdrawn team or key that comes back."""
+    """Guards against an old change that recreates a deleted team or key."""
     config = put_team(Config(version=1), "a")
     delete = Change("teams", "a", None, 2, "d")
     config = attrs.evolve(apply_change(config, delete), version=3)
@@ -124,7 +124,7 @@
 
 
 def test_a_rebased_change_is_validated_against_the_racing_one() -> None:
-    """Guards against a key whose team a racing operator has just deleted."""
+    """Guards against a key whose team was deleted by a racing change."""
     config = put_team(Config(version=1), "a")
     key = Change("keys", "k", Key.from_secret("k", "a", "s"), 2, "k")
     delete = Change("teams", "a", None, 2, "d")
@@ -144,7 +144,7 @@
     ],
 )
 def test_a_change_of_the_wrong_form_is_refused(change: Change) -> None:
-    """Guards against a resource that is filed under the wrong kind or name."""
+    """Guards against a resource that is stored under the wrong kind or name."""
     with pytest.raises(InvalidInputError):
         apply_change(Config(version=1), change)
 
@@ -258,7 +258,7 @@
 def test_the_machine_finds_a_change_that_overwrites_another(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a machine that would not notice a lost change."""
+    """Guards against a state machine that does not detect a lost change."""
     race_on_one_team(ConfigMachine())
     monkeypatch.setattr(versions, "_check_base", lambda *_: None)
     with pytest.raises(AssertionError):
@@ -266,7 +266,7 @@
 
 
 def test_valid_documents_have_no_problems() -> None:
-    """Guards against checks that refuse a sound document."""
+    """Guards against checks that reject a valid document."""
     config = put_team(Config(version=1), "a")
     keys = {"k": Key.from_secret("k", "a", "s")}
     services = {"open": Service("open"), "own": Service("own", "a")}
