--- a/marjoramgrade/decisions/retention.py
+++ b/marjoramgrade/decisions/retention.py
@@ -1,4 +1,4 @@
-"""How long ended jobs are kept in memory and in the table."""
+"""Retention of ended jobs in memory and in the table."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from marjoramgrade.model import Job
 
-# Lists and watches show an ended job for this long; its row is kept longer.
+# Lists and watches show an ended job for this time; its row is retained for longer.
 MEMORY_RETENTION_MS = 3_600_000
 MAX_DELETED_AT_ONCE = 100
 
@@ -21,7 +21,7 @@
 
 
 class EndedJobs:
-    """Ended jobs in the order in which this instance learned of their end.
+    """Ended jobs, in the order in which this instance recorded them.
 
     Args:
         retention_ms: Time after which the row of an ended job is deleted.
@@ -31,15 +31,15 @@
         self._retention_ms = retention_ms
         self._in_memory: deque[_EndedJob] = deque()
         self._in_table: deque[_EndedJob] = deque()
-        self._forgotten_version = 0
+        self._evicted_version = 0
 
     def record(self, job: Job, version: int, is_own_shard: bool, now_ms: int) -> None:
-        """Take note of an ended job.
+        """Record an ended job.
 
         Args:
-            job: The job.
-            version: Version of its row.
-            is_own_shard: Whether instances of this zone delete its row.
+            job: The ended job.
+            version: Version of the job's row.
+            is_own_shard: Whether instances of this zone delete the row.
             now_ms: The current time.
         """
         ended = _EndedJob(job.job_id, version, now_ms)
@@ -48,21 +48,24 @@
             self._in_table.append(ended)
 
     def is_evicted(self, job: Job, version: int) -> bool:
-        """Return whether a row that was read again is of a forgotten job."""
-        return version <= self._forgotten_version and not job.is_open
+        """Return whether a row that was read again belongs to an evicted job."""
+        return version <= self._evicted_version and not job.is_open
 
     def pop_evictable(self, now_ms: int) -> list[str]:
-        """Return the jobs that memory need not keep any longer."""
-        kept_ms = min(MEMORY_RETENTION_MS, self._retention_ms)
-        forgotten = []
-        while self._in_memory and now_ms >= self._in_memory[0].ended_ms + kept_ms:
+        """Remove and return the ids of the jobs to evict from memory."""
+        memory_retention_ms = min(MEMORY_RETENTION_MS, self._retention_ms)
+        evicted = []
+        while (
+            self._in_memory
+            and now_ms >= self._in_memory[0].ended_ms + memory_retention_ms
+        ):
             ended = self._in_memory.popleft()
-            self._forgotten_version = max(self._forgotten_version, ended.version)
-            forgotten.append(ended.job_id)
-        return forgotten
+            self._evicted_version = max(self._evicted_version, ended.version)
+            evicted.append(ended.job_id)
+        return evicted
 
     def pop_expired(self, now_ms: int) -> dict[str, int]:
-        """Return the versions of rows that may be deleted now, by job."""
+        """Remove and return the versions of rows to delete now, by job id."""
         expired: dict[str, int] = {}
         while self._in_table and len(expired) < MAX_DELETED_AT_ONCE:
             if now_ms < self._in_table[0].ended_ms + self._retention_ms:
--- a/marjoramgrade/decisions/retries.py
+++ b/marjoramgrade/decisions/retries.py
@@ -1,4 +1,4 @@
-"""Which outcome of a request or a task permits another attempt."""
+"""Decides whether a request or a task may be attempted again."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 MAX_REQUEST_ATTEMPTS = 4
 FIRST_TASK_DELAY_MS = 500
 MAX_TASK_DELAY_MS = 30_000
-# Bounds the shift; the longest pause is reached long before.
+# Limits the shift in `Backoff`; the longest delay is reached long before.
 MAX_DOUBLINGS = 16
 BUDGET_PERCENT = 10
-# Retries that time alone earns, so that an instance with few requests has some.
+# Retries available independently of the number of requests, one more for each
+# interval up to this many, so that an instance with few requests has some.
 BUDGET_FLOOR = 3
 FLOOR_INTERVAL_MS = 1_000
-# Retries saved up beyond this would let a burst double the load.
+# Maximum number of saved retries; more would let a burst double the load.
 BUDGET_CEILING = 100
-# Attempts that were refused before they ran; each is tried elsewhere.
+# Starts of a task refused in a row before it fails; each is tried elsewhere.
 MAX_REFUSED_STARTS = 20
-# Workers lost in a row under one task before the task is suspected as the cause.
+# Workers lost in a row while running a task before the task is assumed the cause.
 MAX_LOST_WORKERS = 10
-# A task that ran this long is not what ended its worker.
+# A task that ran this long is not considered the cause of the loss of its worker.
 STABLE_RUN_MS = 600_000
 
 
 class RetryPolicy(Protocol):
-    """Decides on the pause before another attempt."""
+    """Determines the delay before another attempt."""
 
     def delay_ms(self, attempts: int) -> int | None:
-        """Return the pause before the next attempt, or None for no attempt.
+        """Return the delay before the next attempt, or None to make no more attempts.
 
         Args:
             attempts: Attempts made so far, at least one.
@@ -51,12 +52,12 @@
 @RETRY_POLICIES.register("backoff")
 @attrs.frozen
 class Backoff:
-    """Doubles the pause with every attempt.
+    """Doubles the delay with every attempt.
 
     Attributes:
-        first_ms: Pause after the first attempt.
-        longest_ms: Longest pause.
-        max_attempts: Attempts of one request, the first included.
+        first_ms: Delay after the first attempt.
+        longest_ms: Maximum delay.
+        max_attempts: Maximum number of attempts of one request, including the first.
     """
 
     first_ms: int = FIRST_DELAY_MS
@@ -73,7 +74,7 @@
 @RETRY_POLICIES.register("task_backoff")
 @attrs.frozen
 class TaskBackoff(Backoff):
-    """Longer pauses for tasks; their job bounds the attempts.
+    """Backoff with longer delays for tasks; their job limits the attempts.
 
     The attributes are those of `Backoff`.
     """
@@ -90,7 +91,7 @@
 @RETRY_POLICIES.register("never")
 @attrs.frozen
 class NoRetry:
-    """Makes no second attempt."""
+    """Allows no second attempt."""
 
     def delay_ms(self, attempts: int) -> int | None:
         """Return None; see `RetryPolicy.delay_ms`."""
@@ -99,9 +100,9 @@
 
 @attrs.define
 class RetryBudget:
-    """Bounds retries to a fraction of the requests, so that they cannot pile up.
+    """Limits retries to a fraction of the requests, so that they cannot accumulate.
 
-    Amounts are hundredths of a retry, so that whole numbers suffice.
+    Retries earned by requests are counted in hundredths, to use integers only.
     """
 
     _hundredths: int = 0
@@ -109,12 +110,12 @@
     _floor_ms: int = 0
 
     def record_request(self) -> None:
-        """Take note of a first attempt, which earns a part of a retry."""
+        """Record a first attempt, which earns a fraction of a retry."""
         ceiling = BUDGET_CEILING * 100
         self._hundredths = min(ceiling, self._hundredths + BUDGET_PERCENT)
 
     def try_spend(self, now_ms: int) -> bool:
-        """Return whether a retry is within the budget, and charge it."""
+        """Return whether a retry is within the budget; if so, charge it."""
         if self._hundredths >= 100:
             self._hundredths -= 100
             return True
@@ -130,14 +131,14 @@
 
 @attrs.frozen
 class Attempt:
-    """What is known of a request whose latest attempt brought no answer.
+    """A request whose latest attempt got no response.
 
     Attributes:
-        idempotent: Whether running it again does no harm.
-        ran: What the other side said about whether it ran.
-        bytes_sent: Whether any byte of the request may have left.
+        idempotent: Whether running the request again does no harm.
+        ran: What the peer reported about whether the request ran.
+        bytes_sent: Whether any byte of the request may have been sent.
         attempts: Attempts made so far, at least one.
-        deadline_ms: Time after which nobody waits for the answer.
+        deadline_ms: Time after which no caller waits for the response.
     """
 
     idempotent: bool
@@ -148,7 +149,7 @@
 
 
 class RetryVerdict(enum.Enum):
-    """What to do with a request whose latest attempt brought no answer."""
+    """Whether to retry a request whose latest attempt got no response, or why not."""
 
     RETRY = "retry"
     NOT_SAFE = "not_safe"
@@ -159,7 +160,7 @@
 
 @attrs.frozen
 class RetryDecision:
-    """A verdict, and the pause before the next attempt if there is one."""
+    """A verdict and, for a retry, the delay before the next attempt."""
 
     verdict: RetryVerdict
     delay_ms: int = 0
@@ -169,8 +170,8 @@
     """Return whether a request cannot have run and never will.
 
     Args:
-        ran: What the other side said; `UNKNOWN` if it said nothing.
-        bytes_sent: Whether any byte of the request may have left.
+        ran: What the peer reported; `UNKNOWN` if it reported nothing.
+        bytes_sent: Whether any byte of the request may have been sent.
     """
     return ran is Ran.NO or (ran is Ran.UNKNOWN and not bytes_sent)
 
@@ -179,7 +180,7 @@
     """Return whether another attempt cannot run a request twice by mistake.
 
     A request that ran is not repeated even if it is idempotent: its failure is
-    the answer.
+    the result.
     """
     if ran is Ran.YES:
         return False
@@ -193,8 +194,8 @@
 
     Args:
         attempt: The latest attempt.
-        policy: Pauses and the number of attempts.
-        budget: Bound on the retries of this instance.
+        policy: Delays and the maximum number of attempts.
+        budget: Limit on the retries of this instance.
         now_ms: The current time.
     """
     if not is_safe_to_repeat(attempt.idempotent, attempt.ran, attempt.bytes_sent):
@@ -221,16 +222,17 @@
 
 @attrs.frozen
 class TaskAttempts:
-    """The attempts of one task.
+    """Counts of the attempts of one task.
 
-    A worker that refuses a start leaves a precondition unmet, which is no
-    failure of the task; a preempted task was stopped for the sake of others;
-    and a lost worker is rarely the fault of its tasks. None of them counts as an
-    attempt. Refusals and losses in a row are bounded, so that work which no
-    worker takes or survives is reported and not tried for ever.
+    Refused starts, preemptions and lost workers do not count as attempts: a worker
+    refuses a start because a precondition is not met, which is no failure of the
+    task; a preempted task was stopped in favor of others; and the loss of a worker
+    is rarely caused by its tasks. Consecutive refusals and losses are limited, so
+    that a task that no worker accepts or survives is reported as failed instead of
+    being retried forever.
 
     Attributes:
-        started: Attempts that ran and count against the task.
+        started: Attempts that ran and count towards the limit of the job.
         refused: Starts refused in a row.
         lost: Workers lost in a row.
     """
@@ -240,11 +242,11 @@
     lost: int = 0
 
     def after(self, end: TaskEnd, ran_ms: int = 0) -> TaskAttempts:
-        """Return the attempts after another one ended.
+        """Return the counts after another attempt ended.
 
         Args:
-            end: How it ended.
-            ran_ms: How long it ran.
+            end: How the attempt ended.
+            ran_ms: How long the attempt ran.
         """
         if end is TaskEnd.REFUSED:
             return attrs.evolve(self, refused=self.refused + 1)
@@ -256,10 +258,10 @@
         return TaskAttempts(self.started + 1)
 
     def exhausted_reason(self, max_attempts: int) -> str | None:
-        """Return why the task is given up, or None if it may start again.
+        """Return why the task has failed, or None if it may start again.
 
         Args:
-            max_attempts: Attempts that the job allows.
+            max_attempts: Maximum number of attempts that the job allows.
         """
         if self.started >= max_attempts:
             return f"failed: {self.started} of {max_attempts} attempts used"
--- a/marjoramgrade/decisions/sessions.py
+++ b/marjoramgrade/decisions/sessions.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard knows about its connections to workers."""
+"""Connections and leases of workers, as known to the owner of their shard."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @attrs.define
 class WorkerSession:
-    """One worker as its shard's owner sees it.
+    """Connection and lease of one worker.
 
     Attributes:
-        worker_id: The worker.
-        is_connected: Whether its inventory arrived on the open connection.
-        lease_until_ms: Its tasks may run until this time on the owner's clock;
-            zero before the first grant of this epoch.
+        worker_id: Id of the worker.
+        is_connected: Whether the worker's inventory arrived on the open connection.
+        lease_until_ms: Time on the owner's clock until which the worker's tasks
+            may run; zero before the first grant of this epoch and after a lapse.
     """
 
     worker_id: str
@@ -25,37 +25,37 @@
 
     @property
     def is_leased(self) -> bool:
-        """Whether a lease was granted that was not seen to lapse."""
+        """Whether a lease was granted and `pop_lapsed` has not found it lapsed."""
         return self.lease_until_ms > 0
 
 
 class WorkerSessions:
-    """The sessions of one shard under one epoch."""
+    """Sessions of the workers of one shard during one epoch."""
 
     def __init__(self) -> None:
         self._session_by_id: dict[str, WorkerSession] = {}
 
     def mark_connected(self, worker_id: str, now_ms: int) -> None:
-        """Note that a worker sent its inventory.
+        """Record that a worker sent its inventory.
 
-        Until the first grant the worker counts as leased from now on: a previous
-        owner or connection may have granted a lease shortly before.
+        The worker counts as leased from now on, even before the first grant: a
+        previous owner or connection may have granted a lease shortly before.
         """
-        session = self._find(worker_id)
+        session = self._find_or_create(worker_id)
         session.is_connected = True
         self._extend(session, now_ms)
 
     def mark_disconnected(self, worker_id: str) -> None:
-        """Note that the connection broke; the lease goes on."""
-        self._find(worker_id).is_connected = False
+        """Record that the connection broke; the lease remains in force."""
+        self._find_or_create(worker_id).is_connected = False
 
     def record_grant(self, worker_id: str, now_ms: int) -> None:
-        """Note that a heartbeat is answered now.
+        """Record that a heartbeat is answered now, which grants a lease.
 
-        The worker counts its lease from an earlier time, so it lapses there
-        before it lapses here.
+        The worker counts the lease from an earlier time, when it sent the
+        heartbeat, so that the lease lapses there before it lapses here.
         """
-        self._extend(self._find(worker_id), now_ms)
+        self._extend(self._find_or_create(worker_id), now_ms)
 
     def is_leased(self, worker_id: str) -> bool:
         """Return whether a worker may still run tasks."""
@@ -68,7 +68,7 @@
         return session is not None and session.is_connected
 
     def pop_lapsed(self, now_ms: int) -> list[str]:
-        """Return the workers whose lease has lapsed since the last call."""
+        """Return the ids of workers whose lease has lapsed since the last call."""
         lapsed = []
         for session in self._session_by_id.values():
             if session.is_leased and now_ms >= session.lease_until_ms:
@@ -77,16 +77,16 @@
         return lapsed
 
     def connected_ids(self) -> list[str]:
-        """Return the workers that messages can be sent to."""
+        """Return the ids of workers that messages can be sent to."""
         return [s.worker_id for s in self._session_by_id.values() if s.is_connected]
 
     def remove(self, worker_id: str) -> None:
-        """Drop the session of a worker that is gone."""
+        """Remove the session of a worker that no longer exists."""
         self._session_by_id.pop(worker_id, None)
 
     def _extend(self, session: WorkerSession, now_ms: int) -> None:
         until_ms = now_ms + WORKER_LEASE_MS + DRIFT_MARGIN_MS
         session.lease_until_ms = max(session.lease_until_ms, until_ms)
 
-    def _find(self, worker_id: str) -> WorkerSession:
+    def _find_or_create(self, worker_id: str) -> WorkerSession:
         return self._session_by_id.setdefault(worker_id, WorkerSession(worker_id))
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -14,7 +14,7 @@
 
 
 def test_ended_jobs_leave_memory_and_later_the_table() -> None:
-    """Guards against memory and rows that grow with every job for ever."""
+    """Guards against memory and a table that grow with every job without bound."""
     ended = EndedJobs(RETENTION_MS)
     ended.record(*_ended(1), True, now_ms=0)
     ended.record(*_ended(2), False, now_ms=1)
@@ -24,8 +24,8 @@
     assert ended.pop_expired(RETENTION_MS + 1) == {"j-1": 1}
 
 
-def test_a_forgotten_job_that_is_read_again_is_not_announced_again() -> None:
-    """Guards against watches that show an old end once more."""
+def test_an_evicted_job_that_is_read_again_is_not_announced_again() -> None:
+    """Guards against watches that report the end of an old job again."""
     ended = EndedJobs(RETENTION_MS)
     ended.record(*_ended(5), True, now_ms=0)
     assert not ended.is_evicted(*_ended(5))
@@ -35,7 +35,7 @@
 
 
 def test_deletions_are_bounded() -> None:
-    """Guards against one transaction with every row of a busy day."""
+    """Guards against a transaction that deletes all rows of a busy day at once."""
     ended = EndedJobs(RETENTION_MS)
     for number in range(MAX_DELETED_AT_ONCE + 1):
         ended.record(*_ended(number), True, now_ms=0)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -43,13 +43,13 @@
 
 
 def test_a_request_that_ran_is_never_repeated() -> None:
-    """Guards against a reported failure that is hidden by a second run."""
+    """Guards against a second run that hides a reported failure."""
     assert not is_safe_to_repeat(True, Ran.YES, True)
     assert is_safe_to_repeat(True, Ran.UNKNOWN, True)
 
 
 def test_retries_end_with_the_deadline_and_the_attempts() -> None:
-    """Guards against retries that nobody waits for."""
+    """Guards against retries whose response no caller waits for."""
     policy = RETRY_POLICIES.get("backoff")()
 
     def verdict(attempt: Attempt, now_ms: int = 0) -> RetryVerdict:
@@ -78,7 +78,7 @@
 
 
 def test_policies_are_found_by_name() -> None:
-    """Guards against settings that name a policy which does not exist."""
+    """Guards against settings that name an unknown policy."""
     assert list(RETRY_POLICIES.iter_names()) == ["backoff", "never", "task_backoff"]
     assert RETRY_POLICIES.get("never")().delay_ms(1) is None
     backoff = RETRY_POLICIES.get("backoff")()
@@ -88,7 +88,7 @@
 
 
 def test_only_a_real_start_counts_as_an_attempt_of_a_task() -> None:
-    """Guards against tasks that fail because workers would not take them."""
+    """Guards against tasks that fail because workers refused to start them."""
     attempts = TaskAttempts()
     for end in (TaskEnd.REFUSED, TaskEnd.PREEMPTED, TaskEnd.REFUSED):
         attempts = attempts.after(end)
@@ -100,8 +100,8 @@
     assert reason == "failed: 3 of 3 attempts used"
 
 
-def test_a_task_that_every_worker_refuses_is_given_up() -> None:
-    """Guards against work that is offered for ever without anyone hearing of it."""
+def test_a_task_that_every_worker_refuses_fails() -> None:
+    """Guards against a task that is offered forever without a reported failure."""
     attempts = TaskAttempts()
     for _ in range(MAX_REFUSED_STARTS):
         assert attempts.exhausted_reason(1) is None
@@ -110,7 +110,7 @@
 
 
 def test_lost_workers_are_no_attempts_unless_the_task_loses_them_all() -> None:
-    """Guards against services that fail since their workers were replaced."""
+    """Guards against services that fail because their workers were replaced."""
     attempts = TaskAttempts()
     for _ in range(2 * MAX_LOST_WORKERS):
         attempts = attempts.after(TaskEnd.WORKER_LOST, ran_ms=STABLE_RUN_MS)
