--- a/marjoramgrade/decisions/grants.py
+++ b/marjoramgrade/decisions/grants.py
@@ -1,7 +1,7 @@
 """The grants row of a team: how its limit is divided among the shards.
 
 Escrow method: O'Neil, "The Escrow Transactional Method", TODS 1986. All
-functions return a new row; it is written only if the old one is still current.
+functions return a new row, which is written only if the old row is still current.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from marjoramgrade.errors import NotOwnerError
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
-# Stands for an amount that no limit bounds.
+# Represents an amount without a limit.
 UNLIMITED = 1 << 62
 
 
 def combine(
     function: Callable[[int, int], int], left: Resources, right: Resources
 ) -> Resources:
-    """Return the amounts that a function makes of two amounts of each resource."""
+    """Apply a function to the two amounts of each resource and return the results."""
     return Resources(
         function(left.cpu_millis, right.cpu_millis),
         function(left.memory_mib, right.memory_mib),
@@ -30,7 +30,7 @@
 
 
 def positive_part(amount: Resources) -> Resources:
-    """Return the amounts with zero in place of negative ones."""
+    """Return the amounts with negative ones replaced by zero."""
     return combine(max, amount, ZERO_RESOURCES)
 
 
@@ -40,7 +40,7 @@
 
 
 def limited_part(amount: Resources, limit: Resources) -> Resources:
-    """Return the amounts of those resources that a limit bounds."""
+    """Return the amounts of limited resources, with zero for unlimited ones."""
     return combine(lambda value, bound: value if bound else 0, amount, limit)
 
 
@@ -50,17 +50,17 @@
 
 @attrs.frozen
 class GrantsRow:
-    """How the limit of a team is divided.
+    """How the limit of a team is divided among the shards.
 
     Attributes:
         team: Name of the team.
         limit: Upper limit across the fleet; a zero amount means no limit.
-        amount_by_shard: What each shard may use; the sum is within the limit.
-        unconfirmed_by_shard: What a shard may still use, if that is more,
-            since its owner has not confirmed that it applied a lower limit.
-            Nobody else gets this part before.
-        epoch_by_shard: Epoch of the owner that claimed the shard's grant; a
-            transaction that an earlier owner sent fails from then on.
+        amount_by_shard: Amount that each shard may use; the sum is within the limit.
+        unconfirmed_by_shard: Larger amount that a shard may still use because its
+            owner has not confirmed that it applied a lowered limit. No other
+            shard is granted the difference before the owner confirms.
+        epoch_by_shard: Epoch of the owner that claimed the shard's grant;
+            transactions that an earlier owner sent fail from then on.
     """
 
     team: str
@@ -70,27 +70,27 @@
     epoch_by_shard: Mapping[str, int] = attrs.field(factory=dict)
 
     def amount(self, shard: str) -> Resources:
-        """Return what a shard may use."""
+        """Return the amount that a shard may use."""
         return self.amount_by_shard.get(shard, ZERO_RESOURCES)
 
     def held(self, shard: str) -> Resources:
-        """Return what the owner of a shard may believe that it may use."""
+        """Return the largest amount that the owner of a shard may consider granted."""
         unconfirmed = self.unconfirmed_by_shard.get(shard, ZERO_RESOURCES)
         return combine(max, self.amount(shard), unconfirmed)
 
     @property
     def unallocated(self) -> Resources:
-        """What a shard may take."""
+        """Part of the limit that no shard holds; zero for unlimited resources."""
         shards = {*self.amount_by_shard, *self.unconfirmed_by_shard}
         held = _total(self.held(shard) for shard in shards)
         return limited_part(positive_part(self.limit - held), self.limit)
 
 
 def initial_row(team: str, limit: Resources, shards: Iterable[str]) -> GrantsRow:
-    """Return the first row of a team.
+    """Return the initial row of a team.
 
-    Half of the limit is divided evenly, so that every shard can start at once;
-    the rest is taken by the shards that need it.
+    Half of the limit is divided evenly, so that every shard can start work at
+    once; the other half is left for the shards that need more.
     """
     names = sorted(shards)
     part = limit.scaled(1, 2 * len(names)) if names else ZERO_RESOURCES
@@ -98,7 +98,7 @@
 
 
 def claim(row: GrantsRow, shard: str, epoch: int) -> GrantsRow:
-    """Return the row after a new owner of a shard took over its grant.
+    """Return the row after a new owner of a shard claimed its grant.
 
     Raises:
         NotOwnerError: If a later owner has claimed the grant.
@@ -110,7 +110,7 @@
 
 
 def allocate(row: GrantsRow, shard: str, epoch: int, wanted: Resources) -> GrantsRow:
-    """Return the row after a shard took what it wants of the unallocated part.
+    """Return the row after granting a shard up to `wanted` of the unallocated part.
 
     Raises:
         NotOwnerError: If a later owner has claimed the grant.
@@ -123,18 +123,18 @@
 def return_unused(
     row: GrantsRow, shard: str, epoch: int, amount: Resources
 ) -> GrantsRow:
-    """Return the row after a shard gave back a part that it does not use.
+    """Return the row after a shard returned an amount that it does not use.
 
     Raises:
         NotOwnerError: If a later owner has claimed the grant.
     """
     _check_epoch(row, shard, epoch)
-    left = positive_part(row.amount(shard) - positive_part(amount))
-    return _with_amount(row, shard, left)
+    remaining = positive_part(row.amount(shard) - positive_part(amount))
+    return _with_amount(row, shard, remaining)
 
 
 def confirm(row: GrantsRow, shard: str, epoch: int) -> GrantsRow:
-    """Return the row after a shard went down to its lowered amount.
+    """Return the row after a shard confirmed that it applied its lowered amount.
 
     Raises:
         NotOwnerError: If a later owner has claimed the grant.
@@ -148,8 +148,8 @@
 def with_limit(row: GrantsRow, limit: Resources) -> GrantsRow:
     """Return the row after operators changed the limit.
 
-    Amounts shrink in proportion where their sum is above the new limit. A
-    resource that had no limit before is divided evenly.
+    Where the sum of the amounts exceeds the new limit, they shrink proportionally.
+    A resource that had no limit before is divided evenly.
     """
     shards = sorted(row.amount_by_shard)
     amounts = {shard: row.amount(shard) for shard in shards}
@@ -161,10 +161,10 @@
             amounts[shard] = _choose(row.limit, shrunk, even)
     unconfirmed = {}
     for shard in shards:
-        before = _choose(row.limit, row.held(shard), bounds_of(ZERO_RESOURCES))
-        before = limited_part(before, limit)
-        if not before.fits(amounts[shard]):
-            unconfirmed[shard] = before
+        previous = _choose(row.limit, row.held(shard), bounds_of(ZERO_RESOURCES))
+        previous = limited_part(previous, limit)
+        if not previous.fits(amounts[shard]):
+            unconfirmed[shard] = previous
     return attrs.evolve(
         row,
         limit=limit,
@@ -177,16 +177,21 @@
     triples = zip(*map(attrs.astuple, (amount, limit, total)), strict=True)
     return Resources(
         *(
-            value * bound // whole if bound and whole > bound else value
-            for value, bound, whole in triples
+            value * bound // allocated if bound and allocated > bound else value
+            for value, bound, allocated in triples
         )
     )
 
 
 def _choose(limit: Resources, limited: Resources, unlimited: Resources) -> Resources:
-    """Return each amount of one vector where a limit bounds it, else of another."""
+    """Return the amounts of `limited` where a limit applies, else of `unlimited`."""
     triples = zip(*map(attrs.astuple, (limit, limited, unlimited)), strict=True)
-    return Resources(*(one if bound else other for bound, one, other in triples))
+    return Resources(
+        *(
+            limited_amount if bound else unlimited_amount
+            for bound, limited_amount, unlimited_amount in triples
+        )
+    )
 
 
 def _with_amount(row: GrantsRow, shard: str, amount: Resources) -> GrantsRow:
@@ -196,4 +201,4 @@
 
 def _check_epoch(row: GrantsRow, shard: str, epoch: int) -> None:
     if epoch < row.epoch_by_shard.get(shard, 0):
-        raise NotOwnerError(f"{shard} has a later owner", team=row.team)
+        raise NotOwnerError(f"{shard} has an owner with a later epoch", team=row.team)
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -1,4 +1,4 @@
-"""What the teams of one shard may run under their upper limits."""
+"""A shard's grants, its parts of the upper limits of teams."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 def choose_donor(
     wanted: Resources, unused_by_shard: Mapping[str, Resources]
 ) -> str | None:
-    """Return the shard that is asked to give back grant of a team.
+    """Return the shard to ask to return a part of a team's grant.
 
     Args:
-        wanted: What another shard lacks.
-        unused_by_shard: What each other shard can spare, from their summaries.
+        wanted: Amount that another shard lacks.
+        unused_by_shard: Unused amount of each other shard, from its summary.
 
     Returns:
-        The shard that can spare the largest part, or None.
+        The shard that can return the largest part, or None if no shard can.
     """
     part_by_shard = {
         shard: combine(min, wanted, unused).dominant_share(wanted)
@@ -41,12 +41,12 @@
     """One team's grant in one shard.
 
     Attributes:
-        row: The grants row that is in force here.
-        version: Its version in the table.
-        reserved: What the team's tasks of this shard use.
-        returning: What is being given back; it is not used again until a later
-            row shows what became of it.
-        is_pending: Whether a write based on `version` may take effect. Its
+        row: Latest grants row known to this shard.
+        version: Version of the row in the table.
+        reserved: Amount that the team's tasks of this shard use.
+        returning: Amount being returned; it is not used again until a later row
+            shows whether the write took effect.
+        is_pending: Whether a write based on `version` may still take effect. Its
             check fails on any later version, so a later row resolves it.
     """
 
@@ -57,7 +57,7 @@
     is_pending: bool = False
 
     def usable(self, shard: str) -> Resources:
-        """Return what the team may use in a shard."""
+        """Return the amount that the team may use in a shard."""
         amount = self.row.amount(shard) - self.returning
         return combine(
             lambda value, bound: value if bound else grants.UNLIMITED,
@@ -68,10 +68,10 @@
 
 @attrs.define
 class HeldGrants:
-    """The grants of every team in one shard.
+    """The grants of all teams in one shard.
 
-    A team may use a resource only after this owner's claim is in the row, since
-    a transaction of an earlier owner may take effect before that.
+    A team may use a resource only once this owner's claim is in the row, since a
+    transaction of an earlier owner may take effect until then.
 
     Attributes:
         shard: Name of the shard.
@@ -84,10 +84,10 @@
     _running_by_team: dict[str, Resources] = attrs.field(factory=dict)
 
     def observe(self, row: GrantsRow, version: int) -> None:
-        """Take over a row that was read or written; older rows are ignored.
+        """Adopt a row that was read or written, if it is newer than the known row.
 
-        A row of the same version says nothing about a write that was sent on
-        the basis of it, which may still take effect.
+        A row of the same version does not resolve a pending write that is based
+        on it; that write may still take effect.
         """
         known = self._grant_by_team.get(row.team)
         if known is None:
@@ -105,7 +105,7 @@
         return 0 if grant is None else grant.version
 
     def reserve(self, team: str, amount: Resources) -> bool:
-        """Reserve for a start, if the grant allows it."""
+        """Reserve an amount for a task, and return whether the grant allows it."""
         grant = self._grant_by_team.get(team)
         if grant is None or not self._is_claimed(grant):
             return False
@@ -115,7 +115,7 @@
         return True
 
     def reserve_running(self, team: str, amount: Resources) -> None:
-        """Count a task that a worker reports as running, whatever the grant."""
+        """Reserve the amount of a task reported as running, even beyond the grant."""
         grant = self._grant_by_team.get(team)
         if grant is not None:
             grant.reserved += amount
@@ -124,24 +124,24 @@
             self._running_by_team[team] = running + amount
 
     def release(self, team: str, amount: Resources) -> None:
-        """Give up the reservation of a task that ended.
+        """Release the reservation of a task that ended.
 
         Raises:
             ValueError: If more is released than was reserved.
         """
         grant = self._grant_by_team.get(team)
-        before = self._running_by_team.get(team, ZERO_RESOURCES)
+        reserved_amount = self._running_by_team.get(team, ZERO_RESOURCES)
         if grant is not None:
-            before = grant.reserved
-        if not amount.fits(before):
+            reserved_amount = grant.reserved
+        if not amount.fits(reserved_amount):
             raise ValueError(f"team {team!r} has not reserved {amount}")
         if grant is not None:
             grant.reserved -= amount
         else:
-            self._running_by_team[team] = before - amount
+            self._running_by_team[team] = reserved_amount - amount
 
     def set_reserved(self, team: str, amount: Resources) -> None:
-        """Take over what a caller that keeps its own count says is reserved."""
+        """Replace the reserved amount, for a caller with its own accounting."""
         grant = self._grant_by_team.get(team)
         if grant is not None:
             grant.reserved = amount
@@ -154,23 +154,23 @@
         return grant is not None and grant.is_pending
 
     def row(self, team: str) -> GrantsRow | None:
-        """Return the row in force here, or None if none was observed."""
+        """Return the latest known row, or None if none was observed."""
         grant = self._grant_by_team.get(team)
         return None if grant is None else grant.row
 
     def headroom(self, team: str) -> Resources:
-        """Return what the team may still start here."""
+        """Return the amount that the team may still reserve in this shard."""
         grant = self._grant_by_team.get(team)
         if grant is None or not self._is_claimed(grant):
             return ZERO_RESOURCES
         return positive_part(grant.usable(self.shard) - grant.reserved)
 
     def wanted(self, team: str, demand: Resources) -> Resources:
-        """Return what the grant lacks for running and waiting tasks.
+        """Return the amount that the grant lacks for running and waiting tasks.
 
         Args:
-            team: The team.
-            demand: What its waiting tasks ask for.
+            team: Name of the team.
+            demand: Total amount that its waiting tasks need.
         """
         grant = self._grant_by_team.get(team)
         if grant is None:
@@ -179,42 +179,45 @@
         return limited_part(positive_part(lacking), grant.row.limit)
 
     def excess(self, team: str) -> Resources:
-        """Return by how much running tasks are above the grant.
+        """Return the amount by which running tasks exceed the grant.
 
-        The newest tasks of the team are stopped until nothing is left.
+        The newest tasks of the team are stopped until there is no excess.
         """
         return self.wanted(team, ZERO_RESOURCES)
 
     def begin_claim(self, team: str) -> GrantsRow | None:
         """Return the row that claims the grant for this owner, or None."""
-        grant = self._idle_grant(team)
+        grant = self._writable_grant(team)
         if grant is None or self._is_claimed(grant):
             return None
-        return self._begin(grant, grants.claim(grant.row, self.shard, self.epoch))
+        return self._mark_pending(
+            grant, grants.claim(grant.row, self.shard, self.epoch)
+        )
 
     def begin_allocate(self, team: str, wanted: Resources) -> GrantsRow | None:
-        """Return the row to write to take unallocated grant.
+        """Return the row to write to allocate more of the limit to this shard.
 
         Returns:
-            The row, or None if there is nothing to take or another write of the
-            row is pending.
+            The row, or None if nothing can be allocated, the grant is not claimed
+            or another write of the row is pending.
         """
-        grant = self._idle_grant(team)
+        grant = self._writable_grant(team)
         if grant is None or not self._is_claimed(grant):
             return None
         row = grants.allocate(grant.row, self.shard, self.epoch, wanted)
-        return None if row == grant.row else self._begin(grant, row)
+        return None if row == grant.row else self._mark_pending(grant, row)
 
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
-        """Subtract unused grant and return the row to write to give it back.
+        """Subtract an unused part of the grant and return the row that returns it.
 
-        It must not be called before a takeover is reconciled: tasks on workers
-        not heard of use the grant too.
+        Must not be called before a takeover is reconciled: tasks on workers that
+        have not reported yet use the grant too.
 
         Returns:
-            The row, or None if nothing is unused or another write is pending.
+            The row, or None if nothing is unused, the grant is not claimed or
+            another write is pending.
         """
-        grant = self._idle_grant(team)
+        grant = self._writable_grant(team)
         if grant is None or not self._is_claimed(grant):
             return None
         unused = combine(min, positive_part(amount), self.headroom(team))
@@ -223,39 +226,41 @@
             return None
         grant.returning = unused
         row = grants.return_unused(grant.row, self.shard, self.epoch, unused)
-        return self._begin(grant, row)
+        return self._mark_pending(grant, row)
 
     def begin_confirm(self, team: str) -> GrantsRow | None:
         """Return the row that confirms a lowered amount, or None.
 
-        It must not be called before a takeover is reconciled.
+        Must not be called before a takeover is reconciled.
 
         Returns:
-            The row, or None if no confirmation is asked for, running tasks are
-            above the amount or another write is pending.
+            The row, or None if no confirmation is required, running tasks exceed
+            the amount, the grant is not claimed or another write is pending.
         """
-        grant = self._idle_grant(team)
+        grant = self._writable_grant(team)
         if grant is None or not self._is_claimed(grant):
             return None
-        is_asked = self.shard in grant.row.unconfirmed_by_shard
-        if not is_asked or self.excess(team) != ZERO_RESOURCES:
+        is_required = self.shard in grant.row.unconfirmed_by_shard
+        if not is_required or self.excess(team) != ZERO_RESOURCES:
             return None
-        return self._begin(grant, grants.confirm(grant.row, self.shard, self.epoch))
+        return self._mark_pending(
+            grant, grants.confirm(grant.row, self.shard, self.epoch)
+        )
 
     def cancel(self, team: str) -> None:
-        """Take note that the pending write certainly did not leave."""
+        """Discard the pending write, which certainly was not sent."""
         grant = self._grant_by_team.get(team)
         if grant is not None:
             grant.returning = ZERO_RESOURCES
             grant.is_pending = False
 
-    def _idle_grant(self, team: str) -> TeamGrant | None:
+    def _writable_grant(self, team: str) -> TeamGrant | None:
         grant = self._grant_by_team.get(team)
         return None if grant is None or grant.is_pending else grant
 
     def _is_claimed(self, grant: TeamGrant) -> bool:
         return grant.row.epoch_by_shard.get(self.shard) == self.epoch
 
-    def _begin(self, grant: TeamGrant, row: GrantsRow) -> GrantsRow:
+    def _mark_pending(self, grant: TeamGrant, row: GrantsRow) -> GrantsRow:
         grant.is_pending = True
         return row
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -23,7 +23,7 @@
 
 
 def test_a_shard_takes_no_more_than_is_unallocated() -> None:
-    """Guards against grants whose sum is above the limit (invariant 4)."""
+    """Guards against grants whose sum exceeds the limit (invariant 4)."""
     row = allocate(row_of(10, x=3, y=4), "x", 1, Resources(9, memory_mib=9))
     assert row.amount("x") == cpus(6)
     assert row.unallocated == ZERO_RESOURCES
@@ -31,7 +31,7 @@
 
 
 def test_the_first_split_leaves_a_part_to_take() -> None:
-    """Guards against a limit that lies idle in shards that do not need it."""
+    """Guards against a limit that is wholly granted to shards that do not need it."""
     row = initial_row("t", cpus(10), ["y", "x"])
     assert row.amount_by_shard == {"x": cpus(2), "y": cpus(2)}
     assert row.unallocated == cpus(6)
@@ -39,7 +39,7 @@
 
 
 def test_a_lowered_limit_frees_nothing_until_each_holder_confirms() -> None:
-    """Guards against a holder that is cut off and still uses its old grant."""
+    """Guards against a partitioned holder that still uses its old grant."""
     row = with_limit(row_of(20, x=10, y=10), cpus(10))
     assert row.amount_by_shard == {"x": cpus(5), "y": cpus(5)}
     row = with_limit(row, cpus(24))
@@ -50,7 +50,7 @@
 
 
 def test_a_new_limit_on_an_unlimited_resource_waits_for_every_holder() -> None:
-    """Guards against a first limit that a shard does not know of yet."""
+    """Guards against a first limit that a shard has not read yet."""
     row = with_limit(row_of(0, x=0, y=0), cpus(8))
     assert row.amount_by_shard == {"x": cpus(4), "y": cpus(4)}
     assert row.held("y") == cpus(UNLIMITED)
@@ -61,7 +61,7 @@
 
 
 def test_an_earlier_owner_of_a_shard_changes_nothing() -> None:
-    """Guards against two owners that use one grant."""
+    """Guards against two owners of a shard that use the same grant."""
     row = claim(row_of(10, x=5), "x", 3)
     for change in (
         lambda: allocate(row, "x", 2, cpus(1)),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -26,80 +26,80 @@
 )
 SHARDS = ("x", "y", "z")
 SHARD = st.sampled_from(SHARDS)
-OFTEN = st.sampled_from([True, True, True, False])
+MOSTLY_TRUE = st.sampled_from([True, True, True, False])
 
 
 def units(amount: int) -> Resources:
     return Resources(accelerators=amount)
 
 
-def book_of(limit: int, amount: int) -> HeldGrants:
-    book = HeldGrants("x", 1)
+def held_grants_of(limit: int, amount: int) -> HeldGrants:
+    held = HeldGrants("x", 1)
     row = GrantsRow("t", units(limit), {"x": units(amount)})
-    book.observe(grants.claim(row, "x", 1), 1)
-    return book
+    held.observe(grants.claim(row, "x", 1), 1)
+    return held
 
 
 def test_reservations_stay_within_the_grant() -> None:
-    """Guards against a team above its upper limit (invariant 4)."""
-    book = book_of(10, 3)
-    assert not book.reserve("other", units(1)), "its row was never read"
-    assert book.reserve("t", Resources(cpu_millis=900, accelerators=2))
-    assert not book.reserve("t", units(2))
-    assert book.headroom("t").accelerators == 1
-    assert book.headroom("t").cpu_millis == UNLIMITED - 900
-    assert book.wanted("t", units(4)) == units(3)
-    book.release("t", units(2))
+    """Guards against a team that exceeds its upper limit (invariant 4)."""
+    held = held_grants_of(10, 3)
+    assert not held.reserve("other", units(1)), "its row was never read"
+    assert held.reserve("t", Resources(cpu_millis=900, accelerators=2))
+    assert not held.reserve("t", units(2))
+    assert held.headroom("t").accelerators == 1
+    assert held.headroom("t").cpu_millis == UNLIMITED - 900
+    assert held.wanted("t", units(4)) == units(3)
+    held.release("t", units(2))
     with pytest.raises(ValueError):
-        book.release("t", units(1))
+        held.release("t", units(1))
 
 
 def test_an_owner_uses_no_grant_before_its_claim_is_in_the_row() -> None:
-    """Guards against a delayed transaction of the earlier owner."""
-    book = HeldGrants("x", 2)
+    """Guards against a late transaction of the previous owner."""
+    held = HeldGrants("x", 2)
     row = grants.claim(GrantsRow("t", units(9), {"x": units(5)}), "x", 1)
-    book.reserve_running("t", units(4))
-    book.observe(row, 1)
-    assert not book.reserve("t", units(1))
-    claimed = book.begin_claim("t")
+    held.reserve_running("t", units(4))
+    held.observe(row, 1)
+    assert not held.reserve("t", units(1))
+    claimed = held.begin_claim("t")
     assert claimed is not None
-    book.observe(claimed, 2)
-    assert book.headroom("t") == attrs.evolve(book.headroom("t"), accelerators=1)
+    held.observe(claimed, 2)
+    assert held.headroom("t") == attrs.evolve(held.headroom("t"), accelerators=1)
 
 
 def test_returned_grant_stays_unused_until_a_later_row_is_read() -> None:
-    """Guards against a part that is used here and taken elsewhere."""
-    book = book_of(10, 5)
-    returning = book.begin_return("t", units(3))
+    """Guards against an amount that is used here and granted to another shard."""
+    held = held_grants_of(10, 5)
+    returning = held.begin_return("t", units(3))
     assert returning is not None and returning.amount("x") == units(2)
-    assert book.headroom("t").accelerators == 2
-    assert book.begin_allocate("t", units(1)) is None, "a write is pending"
-    book.observe(grants.claim(GrantsRow("t", units(10)), "x", 1), 1)
-    assert book.headroom("t").accelerators == 2, "the write may still take effect"
-    book.observe(returning, 2)
-    assert book.headroom("t").accelerators == 2
-    assert book.begin_return("t", units(1)) is not None
-    book.cancel("t")
-    assert book.headroom("t").accelerators == 2
+    assert held.headroom("t").accelerators == 2
+    assert held.begin_allocate("t", units(1)) is None, "a write is pending"
+    held.observe(grants.claim(GrantsRow("t", units(10)), "x", 1), 1)
+    assert held.headroom("t").accelerators == 2, "the write may still take effect"
+    held.observe(returning, 2)
+    assert held.headroom("t").accelerators == 2
+    assert held.begin_return("t", units(1)) is not None
+    held.cancel("t")
+    assert held.headroom("t").accelerators == 2
 
 
 def test_a_lowered_grant_is_confirmed_once_running_tasks_fit() -> None:
-    """Guards against a part that others take while tasks still use it."""
-    book = book_of(10, 8)
-    assert book.reserve("t", units(6))
+    """Guards against an amount that is granted to others while tasks still use it."""
+    held = held_grants_of(10, 8)
+    assert held.reserve("t", units(6))
     lowered = grants.with_limit(
         grants.claim(GrantsRow("t", units(10), {"x": units(8)}), "x", 1), units(4)
     )
-    book.observe(lowered, 2)
-    assert book.excess("t") == units(2)
-    assert book.begin_confirm("t") is None
-    book.release("t", units(2))
-    confirmed = book.begin_confirm("t")
+    held.observe(lowered, 2)
+    assert held.excess("t") == units(2)
+    assert held.begin_confirm("t") is None
+    held.release("t", units(2))
+    confirmed = held.begin_confirm("t")
     assert confirmed is not None and confirmed.unconfirmed_by_shard == {}
 
 
 def test_the_shard_that_can_spare_most_is_asked() -> None:
-    """Guards against requests to shards that have nothing to give back."""
+    """Guards against requests to shards that have nothing to return."""
     unused = {"x": units(1), "y": units(9), "z": Resources(cpu_millis=99)}
     assert choose_donor(units(4), unused) == "y"
     assert choose_donor(units(4), {"z": unused["z"]}) is None
@@ -108,7 +108,7 @@
 
 @attrs.define
 class Owner:
-    book: HeldGrants
+    held: HeldGrants
     sent: Transaction | None = None
 
 
@@ -118,7 +118,7 @@
     Tasks outlive the owner of their shard; operators change the limit.
     """
 
-    book_type = HeldGrants
+    grants_type = HeldGrants
     lower = staticmethod(grants.with_limit)
 
     def __init__(self) -> None:
@@ -144,30 +144,30 @@
     def take_over(self, shard: str) -> None:
         epoch = self.read()[0].epoch_by_shard.get(shard, 0)
         if shard in self.owners:
-            epoch = max(epoch, self.owners[shard].book.epoch)
-        owner = self.owners[shard] = Owner(self.book_type(shard, epoch + 1))
-        owner.book.reserve_running("t", units(self.running[shard]))
+            epoch = max(epoch, self.owners[shard].held.epoch)
+        owner = self.owners[shard] = Owner(self.grants_type(shard, epoch + 1))
+        owner.held.reserve_running("t", units(self.running[shard]))
         self.observe(shard)
-        self.send(shard, owner.book.begin_claim("t"), is_at_once=True)
+        self.send(shard, owner.held.begin_claim("t"), is_at_once=True)
 
     @rule(shard=SHARD)
     def observe(self, shard: str) -> None:
         self.old_rows = [*self.old_rows, self.read()][-8:]
-        self.owners[shard].book.observe(*self.read())
+        self.owners[shard].held.observe(*self.read())
 
     @rule(shard=SHARD, pick=st.integers(0, 9))
     def observe_late(self, shard: str, pick: int) -> None:
-        self.owners[shard].book.observe(*self.old_rows[pick % len(self.old_rows)])
+        self.owners[shard].held.observe(*self.old_rows[pick % len(self.old_rows)])
 
     @rule(shard=SHARD, amount=st.integers(1, 4))
     def start(self, shard: str, amount: int) -> None:
-        if self.owners[shard].book.reserve("t", units(amount)):
+        if self.owners[shard].held.reserve("t", units(amount)):
             self.running[shard] += amount
 
     @rule(shard=SHARD, amount=st.integers(1, 4))
     def end(self, shard: str, amount: int) -> None:
         ended = min(amount, self.running[shard])
-        self.owners[shard].book.release("t", units(ended))
+        self.owners[shard].held.release("t", units(ended))
         self.running[shard] -= ended
 
     @rule(shard=SHARD)
@@ -179,22 +179,22 @@
         for _ in range(6):
             self.start(shard, 1)
 
-    @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=OFTEN)
+    @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=MOSTLY_TRUE)
     def take(self, shard: str, amount: int, is_at_once: bool) -> None:
-        row = self.owners[shard].book.begin_allocate("t", units(amount))
+        row = self.owners[shard].held.begin_allocate("t", units(amount))
         self.send(shard, row, is_at_once)
 
-    @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=OFTEN)
+    @rule(shard=SHARD, amount=st.integers(1, 6), is_at_once=MOSTLY_TRUE)
     def give_back(self, shard: str, amount: int, is_at_once: bool) -> None:
-        row = self.owners[shard].book.begin_return("t", units(amount))
+        row = self.owners[shard].held.begin_return("t", units(amount))
         self.send(shard, row, is_at_once)
 
-    @rule(shard=SHARD, is_at_once=OFTEN)
+    @rule(shard=SHARD, is_at_once=MOSTLY_TRUE)
     def confirm(self, shard: str, is_at_once: bool) -> None:
         self.observe(shard)
-        excess = self.owners[shard].book.excess("t").accelerators
+        excess = self.owners[shard].held.excess("t").accelerators
         self.end(shard, excess)
-        self.send(shard, self.owners[shard].book.begin_confirm("t"), is_at_once)
+        self.send(shard, self.owners[shard].held.begin_confirm("t"), is_at_once)
 
     @rule(shard=SHARD)
     def send_again(self, shard: str) -> None:
@@ -211,13 +211,13 @@
         if row is None:
             return
         owner = self.owners[shard]
-        checks = {"grants/t": owner.book.version("t")}
+        checks = {"grants/t": owner.held.version("t")}
         owner.sent = Transaction(checks, {"grants/t": {"row": row}})
         self.in_transit.append((shard, owner, owner.sent))
         if is_at_once:
             self.arrive(pick=-1, is_answered=True)
 
-    @rule(pick=st.integers(0, 9), is_answered=OFTEN)
+    @rule(pick=st.integers(0, 9), is_answered=MOSTLY_TRUE)
     def arrive(self, pick: int, is_answered: bool) -> None:
         if not self.in_transit:
             return
@@ -227,7 +227,7 @@
         except CheckFailedError:
             return
         if is_answered and self.owners[shard] is owner:
-            owner.book.observe(*self.read())
+            owner.held.observe(*self.read())
 
     @invariant()
     def never_above_the_limit(self) -> None:
@@ -240,56 +240,62 @@
 
 
 def test_running_tasks_never_exceed_the_limit() -> None:
-    """Guards against a team above its upper limit (invariant 4).
+    """Guards against a team that exceeds its upper limit (invariant 4).
 
-    After a limit was lowered, running tasks may be above it until every holder
-    has confirmed, but never above the largest limit since then.
+    After a limit was lowered, running tasks may exceed it until every holder has
+    confirmed, but never the largest limit since the last full confirmation.
     """
     run_state_machine_as_test(GrantMachine, settings=MACHINE)
 
 
-class Optimist(HeldGrants):
+class GrantsUsedWhileReturning(HeldGrants):
+    """Grants that remain in use while their return is pending."""
+
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
         row = super().begin_return(team, amount)
         self._grant_by_team[team].returning = ZERO_RESOURCES
         return row
 
 
-class Claimless(HeldGrants):
+class GrantsUsedWithoutClaim(HeldGrants):
+    """Grants that an owner uses before its claim is in the row."""
+
     def _is_claimed(self, grant: object) -> bool:
         return True
 
 
-class OptimistMachine(GrantMachine):
-    book_type = Optimist
+class UsedWhileReturningMachine(GrantMachine):
+    grants_type = GrantsUsedWhileReturning
 
 
-class ClaimlessMachine(GrantMachine):
-    book_type = Claimless
+class UsedWithoutClaimMachine(GrantMachine):
+    grants_type = GrantsUsedWithoutClaim
 
 
 class UnconfirmedMachine(GrantMachine):
+    """A lowered limit that takes effect without confirmations."""
+
     @staticmethod
     def lower(row: GrantsRow, limit: Resources) -> GrantsRow:
         lowered = grants.with_limit(row, limit)
         return attrs.evolve(lowered, unconfirmed_by_shard={})
 
 
-def use_while_giving_back(machine: GrantMachine) -> None:
+def use_while_returning(machine: GrantMachine) -> None:
     machine.observe("x")
     machine.give_back("x", 1, is_at_once=False)
     machine.start("x", 1)
     machine.arrive(pick=0, is_answered=False)
-    use_up(machine)
+    fill_other_shards(machine)
 
 
-def give_back_after_a_takeover(machine: GrantMachine) -> None:
+def return_after_a_takeover(machine: GrantMachine) -> None:
     machine.observe("x")
     machine.give_back("x", 1, is_at_once=False)
     machine.take_over("x")
     machine.start("x", 1)
     machine.arrive(pick=0, is_answered=False)
-    use_up(machine)
+    fill_other_shards(machine)
 
 
 def raise_a_lowered_limit(machine: GrantMachine) -> None:
@@ -298,10 +304,10 @@
     machine.change_limit(3)
     machine.change_limit(6)
     machine.start("x", 4)
-    use_up(machine)
+    fill_other_shards(machine)
 
 
-def use_up(machine: GrantMachine) -> None:
+def fill_other_shards(machine: GrantMachine) -> None:
     for shard in ("y", "z"):
         machine.fill(shard)
         machine.never_above_the_limit()
@@ -311,13 +317,13 @@
 @pytest.mark.parametrize(
     ("play", "broken"),
     [
-        (use_while_giving_back, OptimistMachine),
-        (give_back_after_a_takeover, ClaimlessMachine),
+        (use_while_returning, UsedWhileReturningMachine),
+        (return_after_a_takeover, UsedWithoutClaimMachine),
         (raise_a_lowered_limit, UnconfirmedMachine),
     ],
 )
 def test_the_machine_finds_a_missing_mechanism(play, broken) -> None:
-    """Guards against a machine that would not notice a team above its limit."""
+    """Guards against a state machine that does not detect an exceeded limit."""
     play(GrantMachine())
     with pytest.raises(AssertionError):
         play(broken())
