--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -1,4 +1,4 @@
-"""Hands the requests of callers to the instance that leads."""
+"""Forwards client requests to the instance that leads."""
 
 from __future__ import annotations
 
@@ -46,19 +46,21 @@
     parse_row,
 )
 
-# Between attempts while another instance takes the lead.
+# Pause between attempts while another instance takes over the lead.
 RETRY_MS = 60
-# One attempt at the leader; commits usually take 20 ms, on a slow store 1 s.
+# Timeout of one attempt at the leader. Commits usually take 20 ms, or 1 s on a slow
+# store.
 ATTEMPT_TIMEOUT_MS = 1_500
-# A job that nobody can take is refused once no leader has been known for this long;
-# a takeover usually ends within it. One that may have been taken is not given up before
-# the deadline: its caller would come back, perhaps to an instance that knows of no
-# leader and refuses it as not run, while it runs.
+# A job that reached no leader is refused once no leader has sent a reply or heartbeat
+# for this long; a takeover usually completes within this time. A job that may have been
+# accepted is retried until the deadline: otherwise its client could retry at an
+# instance that knows of no leader and refuses the job as not run, while the job runs.
 NO_LEADER_TIMEOUT_MS = 1_500
-# Left of the caller's time for the way back.
+# Part of the client's time that is reserved for sending the response.
 ANSWER_MARGIN_MS = 60
 
-# What the leader refuses; true of a job only if no earlier attempt may have reached it.
+# Refusals by the leader. They are passed on only if no earlier attempt may have reached
+# a leader, since that attempt may have been accepted.
 _REFUSALS = (
     InvalidInputError,
     OverloadedError,
@@ -71,22 +73,27 @@
 
 @attrs.frozen
 class ForwardRequest(Message[Any]):
-    """A request of a caller and its deadline on this instance's clock."""
+    """A client request to be forwarded to the leader.
+
+    Attributes:
+        request: The request.
+        deadline_ms: The client's deadline on this instance's clock.
+    """
 
     request: LeaderRequest
     deadline_ms: int
 
 
 class ForwardingController(Actor):
-    """Forwards requests and repeats those that are safe to repeat.
+    """Forwards requests to the leader and retries them.
 
-    All of them are: a job that is handed in again is the same job.
+    All requests are idempotent: submitting the same job id again creates no new job.
 
     Args:
         instance_id: Id of this instance.
-        scheduler: Answers while this instance leads.
-        peers: Reaches the other instances.
-        store: Reads rows when no leader answers.
+        scheduler: Handles the requests while this instance leads.
+        peers: Sends messages to the other instances.
+        store: Reads rows when no leader responds.
         clock: Monotonic time.
     """
 
@@ -106,32 +113,32 @@
         self._clock = clock
         self._leader_id = ""
         self._leader_changed = asyncio.Event()
-        self._served_ms = clock.now_ms()
+        self._last_contact_ms = clock.now_ms()
 
     @handles(LeaderChanged)
-    async def _leader_known(self, message: LeaderChanged) -> None:
+    async def _leader_changed_to(self, message: LeaderChanged) -> None:
         self._leader_id = message.leader_id
         self._leader_changed.set()
         self._leader_changed = asyncio.Event()
 
     @handles(ForwardRequest)
     async def _forward(self, message: ForwardRequest) -> Any:
-        return self.spawn(self._answer_until(message.request, message.deadline_ms))
+        return self.spawn(self._request_until(message.request, message.deadline_ms))
 
     @handles(LeaderBeat)
-    async def _beat(self, message: LeaderBeat) -> None:
-        self._served_ms = self._clock.now_ms()
+    async def _heartbeat(self, message: LeaderBeat) -> None:
+        self._last_contact_ms = self._clock.now_ms()
 
-    async def _answer_until(self, message: LeaderRequest, deadline_ms: int) -> Any:
-        """Return the leader's answer.
+    async def _request_until(self, message: LeaderRequest, deadline_ms: int) -> Any:
+        """Send a request to the leader until it replies or the deadline is near.
 
         Args:
             message: The request.
-            deadline_ms: The caller's deadline on this instance's clock.
+            deadline_ms: The client's deadline on this instance's clock.
 
         Raises:
-            RefusedError: If nothing was taken.
-            OutcomeUnknownError: If it is not known whether it was.
+            RefusedError: If the request was not accepted.
+            OutcomeUnknownError: If the request may have been accepted.
         """
         was_sent = False
         failure: MarjoramgradeError = NoLeaderError("no instance leads")
@@ -139,28 +146,28 @@
             left_ms = deadline_ms - self._clock.now_ms() - ANSWER_MARGIN_MS
             try:
                 answer = await self._attempt(message, min(left_ms, ATTEMPT_TIMEOUT_MS))
-                self._served_ms = self._clock.now_ms()
+                self._last_contact_ms = self._clock.now_ms()
                 return answer
             except (NotOwnerError, OwnerUnreachableError, NoLeaderError) as error:
                 failure = error
             except OutcomeUnknownError as error:
                 was_sent, failure = True, error
             except (JobNotFoundError, QueueNotFoundError):
-                self._served_ms = self._clock.now_ms()
+                self._last_contact_ms = self._clock.now_ms()
                 raise
             except _REFUSALS:
                 if not was_sent:
                     raise
             if isinstance(message, GetStepJob):
                 return await self._read_state(message)
-            unserved_ms = self._clock.now_ms() - self._served_ms
-            if not was_sent and unserved_ms > NO_LEADER_TIMEOUT_MS:
+            unresponsive_ms = self._clock.now_ms() - self._last_contact_ms
+            if not was_sent and unresponsive_ms > NO_LEADER_TIMEOUT_MS:
                 break
             await asyncio.sleep(RETRY_MS / 1000)
         if was_sent:
-            raise OutcomeUnknownError("the leader did not answer in time")
+            raise OutcomeUnknownError("the leader did not reply in time")
         logs.log_event("request_refused", code=failure.code, leader=self._leader_id)
-        raise NoLeaderError(f"no instance could take it: {failure.message}")
+        raise NoLeaderError(f"no leader accepted the request: {failure.message}")
 
     async def _attempt(self, message: LeaderRequest, timeout_ms: int) -> Any:
         leader_id = self._leader_id
@@ -172,20 +179,20 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 return await self._scheduler.ask(message)
         except TimeoutError:
-            raise OutcomeUnknownError("no answer in time") from None
+            raise OutcomeUnknownError("the leader did not reply in time") from None
         except ShuttingDownError:
-            raise OutcomeUnknownError("the instance stops") from None
+            raise OutcomeUnknownError("the instance is shutting down") from None
 
     async def _ask_peer(
         self, leader_id: str, message: LeaderRequest, timeout_ms: int
     ) -> Any:
-        """Ask the leader, but give the call up once another instance leads.
+        """Send a request to the leader, but abandon it once another instance leads.
 
-        A leader that lost its power or was cut off answers nobody, and whatever it
-        has stored its successor has read.
+        A leader that lost power or network does not reply, and its successor has read
+        everything that it stored.
 
         Raises:
-            OutcomeUnknownError: If another instance leads before the answer.
+            OutcomeUnknownError: If another instance leads before the reply.
         """
         call = asyncio.ensure_future(
             self._peers.ask(CallPeer(leader_id, message, timeout_ms))
@@ -205,18 +212,18 @@
             await self._leader_changed.wait()
 
     async def _read_state(self, message: GetStepJob) -> StepJobShown:
-        """Return the state of a job as the store has it.
+        """Return the stored state of a job.
 
         Raises:
             JobNotFoundError: If the store has no such job.
-            NoLeaderError: If the store does not answer either.
+            NoLeaderError: If the store does not respond either.
         """
         try:
             row = await self._read_row(JOBS_TABLE, message.job_id, JobRow)
             record = await self._read_row(PROGRESS_TABLE, message.job_id, JobRecord)
         except TableError as error:
             raise NoLeaderError(
-                f"neither leader nor store answers: {error.message}"
+                f"neither leader nor store responds: {error.message}"
             ) from None
         if row is None:
             raise JobNotFoundError(f"no job has the id {message.job_id}")
--- a/marjoramgrade/controllers/stepinbound.py
+++ b/marjoramgrade/controllers/stepinbound.py
@@ -1,4 +1,4 @@
-"""Hands messages of other instances to the controllers that answer them."""
+"""Dispatches messages of other instances to the controllers that handle them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class StepInboundController(Actor):
-    """Knows which controller answers which message.
+    """Dispatches each message to a controller by the message's type.
 
     Args:
-        leadership: Follows the leader.
-        scheduler: Leads.
-        advisor: Asks the placement advisor.
-        store: The direct connection to the store, so that a relayed call is not
+        leadership: Tracks which instance leads.
+        scheduler: Handles job requests while this instance leads.
+        advisor: Queries the placement advisor.
+        store: The direct connection to the store, so that a relayed request is not
             relayed again.
     """
 
@@ -53,5 +53,7 @@
     async def _inbound(self, message: InboundMessage) -> Any:
         controller = self._controller_by_type.get(type(message.message))
         if controller is None:
-            raise ProtocolError(f"nothing answers {type(message.message).__name__}")
+            raise ProtocolError(
+                f"no controller handles {type(message.message).__name__}"
+            )
         return self.spawn(controller.ask(message.message))
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -1,4 +1,4 @@
-"""The leader: takes jobs of steps, plans their runs and keeps their progress."""
+"""The leader: accepts step jobs, plans their runs and tracks their progress."""
 
 from __future__ import annotations
 
@@ -40,57 +40,58 @@
 )
 
 TICK_MS = 200
-# Jobs that ended are dropped this long after callers may last ask for them.
+# Finished jobs are discarded this long after clients may last query them.
 RETENTION_MARGIN_MS = 20_000
 PURGE_INTERVAL_MS = 5_000
 REPORT_INTERVAL_MS = 1_000
-# How long a job waits for a configuration that its sender already has.
+# How long a submission waits for a configuration version that its sender already has.
 CONFIG_WAIT_MS = 1_000
-# Jobs that may be open at a time; further ones are refused.
+# Maximum number of open jobs; further submissions are refused.
 MAX_OPEN_JOBS = 5_000
 
 
 class StepSchedulerController(LeaderEventHandler):
-    """Owns the jobs and the links to the workers while this instance leads."""
+    """Owns the jobs and the links to the workers while this instance is the leader."""
 
     async def on_start(self) -> None:
-        """Start the clockwork."""
+        """Start the periodic tasks."""
         self.spawn_critical(self._tick_forever())
 
     @handles(SubmitStepJob)
     async def _submit(self, message: SubmitStepJob) -> Any:
         lead, job_id = self._current(), message.job.job_id
-        # The same id again is the same job, so a repetition waits for the first call.
-        accepting = lead.pending_submission_by_job.get(job_id)
-        if accepting is None:
-            accepting = self.spawn(self._accept(lead, message))
-            lead.pending_submission_by_job[job_id] = accepting
-            accepting.add_done_callback(
+        # Submitting the same job id again is idempotent: the repeated request waits for
+        # the result of the first.
+        submission = lead.pending_submission_by_job.get(job_id)
+        if submission is None:
+            submission = self.spawn(self._accept(lead, message))
+            lead.pending_submission_by_job[job_id] = submission
+            submission.add_done_callback(
                 lambda _: lead.pending_submission_by_job.pop(job_id, None)
             )
-        return accepting
+        return submission
 
     async def _accept(
         self, lead: LeaderState, message: SubmitStepJob
     ) -> StepJobAccepted:
         job = message.job
         if job.job_id in lead.state.job_by_id:
-            # A repetition can arrive much later.
+            # A repeated submission can arrive much later.
             return StepJobAccepted(False)
         queue = await self._find_queue(job.queue, message.config_version)
         if not lead.reachable:
-            raise TableRequiredError("the store cannot be reached")
+            raise TableRequiredError("the store is unreachable")
         if len(lead.state.open_job_by_id) >= MAX_OPEN_JOBS:
             raise OverloadedError("too many jobs are open")
         progress = lead.state.add_job(job, queue, self._clock.now_ms())
         write = RowWrite(
             job_row_id(job.job_id), serialize_row(JobRow(job, progress.queue))
         )
-        # Rows are written in the order in which they are asked for, so whatever is
-        # planned from now on is stored after the job.
+        # Rows are written in the order of the requests, so all plans made from now on
+        # are stored after the job.
         self._schedule_plan(lead)
         try:
-            await self._settle(lead, write, is_refusable=True)
+            await self._await_stored(lead, write, is_refusable=True)
         except TableRequiredError:
             lead.state.remove_job(job.job_id)
             raise
@@ -107,11 +108,11 @@
         return StepJobAccepted(True)
 
     async def _find_queue(self, name: str, config_version: int) -> Queue:
-        """Return a queue, waiting for the configuration that the sender went by.
+        """Return a queue, waiting for the configuration version that the sender used.
 
         Raises:
             QueueNotFoundError: If the configuration has no such queue.
-            StaleAuthorityError: If it does not come in time.
+            StaleAuthorityError: If that configuration does not arrive in time.
         """
         config = self._config
         if config.version < config_version and self._directory is not None:
@@ -124,19 +125,22 @@
         return queue
 
     @staticmethod
-    async def _settle(
+    async def _await_stored(
         lead: LeaderState, *writes: RowWrite, is_refusable: bool = False
     ) -> None:
-        """Wait until the store holds a job.
+        """Write rows and wait until the store has them and all rows before them.
 
         Raises:
-            TableRequiredError: If nothing was sent to the store and nothing will be.
-            OutcomeUnknownError: If the lead ends first; a successor may find it.
+            TableRequiredError: If the rows were not sent to the store and will not be.
+            OutcomeUnknownError: If the leadership ends first; a successor may find
+                the rows in the store.
         """
         try:
             await lead.commits.ask(SaveRows(writes, is_refusable))
         except (NotOwnerError, ShuttingDownError):
-            raise OutcomeUnknownError("the lead ended before an answer") from None
+            raise OutcomeUnknownError(
+                "the leadership ended before the store responded"
+            ) from None
 
     @handles(GetStepJob)
     async def _get(self, message: GetStepJob) -> StepJobShown:
@@ -161,9 +165,11 @@
             if stored is not None:
                 await stored
         else:
-            await self._settle(lead)
+            await self._await_stored(lead)
         if not progress.visible_state.is_final:
-            raise OutcomeUnknownError("the lead ended before the job was cancelled")
+            raise OutcomeUnknownError(
+                "the leadership ended before the cancellation was stored"
+            )
         return StepJobShown(progress.visible_state, progress.job.team)
 
     @handles(CountPending)
@@ -172,7 +178,7 @@
 
     def _current(self) -> LeaderState:
         if self._lead is None:
-            raise NotOwnerError("this instance does not lead")
+            raise NotOwnerError("this instance is not the leader")
         return self._lead
 
     def _find(self, lead: LeaderState, job_id: str) -> JobProgress:
@@ -195,7 +201,7 @@
             self._report(lead)
 
     def _report(self, lead: LeaderState) -> None:
-        """Write a line on the load, so that a late job can be explained."""
+        """Log the load, so that the cause of a late job can be found."""
         now_ms = self._clock.now_ms()
         if now_ms - lead.last_load_log_ms < REPORT_INTERVAL_MS:
             return
@@ -216,7 +222,7 @@
         )
 
     def _purge(self, lead: LeaderState) -> None:
-        """Drop the jobs that callers may no longer ask for."""
+        """Remove finished jobs that clients may no longer query."""
         now_ms = self._clock.now_ms()
         if now_ms - lead.last_purge_ms < PURGE_INTERVAL_MS or not lead.reachable:
             return
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Handing requests to the instance that leads."""
+"""Tests of the forwarding of requests to the instance that leads."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 
 
 class Leader(Actor):
-    """The leader as another instance reaches it."""
+    """Stands in for the leader, as a peer and as the local scheduler."""
 
     def __init__(self, clock):
         super().__init__()
         self.clock = clock
         self.is_unresponsive = False
         self.failures = []
-        self.dead = set()
+        self.unresponsive_ids = set()
 
     @handles(CallPeer)
     async def _call(self, message: CallPeer) -> object:
-        if message.instance_id in self.dead:
+        if message.instance_id in self.unresponsive_ids:
             return asyncio.get_running_loop().create_future()
         if self.is_unresponsive:
             self.clock.advance(message.timeout_ms)
             raise OutcomeUnknownError("no reply")
         if self.failures:
             self.clock.advance(300)
-            # The last failure stays.
+            # The last failure is raised again by all further calls.
             raise self.failures.pop(0) if self.failures[1:] else self.failures[0]
         return StepJobAccepted(True)
 
@@ -82,8 +82,8 @@
     return await forwarder.ask(ForwardRequest(message, clock.now_ms() + DEADLINE_MS))
 
 
-def test_job_is_handed_to_the_leader():
-    # Guards against a request that is refused although the leader answers.
+def test_job_is_forwarded_to_the_leader():
+    # Guards against a request that is refused although the leader replies.
     async def run():
         async with forwarder_to_leader() as (forwarder, _, clock):
             assert (await submit(forwarder, clock)).created
@@ -91,9 +91,9 @@
     asyncio.run(run())
 
 
-def test_job_that_may_have_been_taken_is_not_given_up_before_the_deadline():
-    # Guards against a caller that comes back and is refused as not run by an instance
-    # that knows of no leader, while the job runs (kbwb-arrears trouble-2, seed
+def test_job_that_may_have_been_accepted_is_retried_until_the_deadline():
+    # Guards against a client that retries at an instance that knows of no leader, which
+    # refuses the job as not run while it runs (seen in kbwb-arrears trouble-2, seed
     # 100282226733).
     async def run():
         async with forwarder_to_leader() as (forwarder, leader, clock):
@@ -110,7 +110,8 @@
     "refusal", [TableRequiredError, StaleAuthorityError, OverloadedError]
 )
 def test_refusal_after_an_attempt_that_may_have_succeeded_is_unknown(refusal):
-    # Guards against a job that is refused as not run although a former leader has it.
+    # Guards against a job that is refused as not run although a former leader accepted
+    # it.
     async def run():
         async with forwarder_to_leader() as (forwarder, leader, clock):
             leader.failures = [OutcomeUnknownError("no reply"), refusal("not now")]
@@ -124,7 +125,7 @@
 
 
 def test_job_that_was_never_sent_is_refused_soon():
-    # Guards against callers that wait for a leader until their time is up.
+    # Guards against clients that wait until their deadline while there is no leader.
     async def run():
         async with forwarder_to_leader() as (forwarder, leader, clock):
             leader.failures = [OwnerUnreachableError("gone")]
@@ -138,11 +139,12 @@
 
 @pytest.mark.parametrize("successor", ["third", "own"])
 def test_job_goes_to_the_next_leader_once_the_first_is_replaced(successor):
-    # Guards against callers that wait for the answer of a leader without power although
-    # another instance leads (kbwb-arrears trouble-3: 1.4 s instead of 0.4 s).
+    # Guards against clients that wait for the reply of a leader that lost power, while
+    # another instance already leads (seen in kbwb-arrears trouble-3: 1.4 s instead of
+    # 0.4 s).
     async def run():
         async with forwarder_to_leader() as (forwarder, leader, clock):
-            leader.dead = {"other"}
+            leader.unresponsive_ids = {"other"}
             answer = asyncio.ensure_future(submit(forwarder, clock))
             await asyncio.sleep(0.05)
             assert not answer.done()
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -1,4 +1,4 @@
-"""The leader's controller against a store and workers in memory."""
+"""Tests of the leader's controller with a store and workers in memory."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class FakePort(WorkerPort):
-    """A worker whose runs end after a while."""
+    """A worker whose runs end after `run_ms` milliseconds."""
 
     run_ms = 30
 
@@ -68,7 +68,7 @@
     async def start(self, order, fence, expires_clock_ms):
         if self.lose_next:
             self.lose_next = False
-            raise WorkerUnresponsiveError("no answer")
+            raise WorkerUnresponsiveError("no response")
         self.started.append((order.task, order.run))
         self.running[(order.task, order.run)] = self.clock() + self.run_ms
         return self.clock()
@@ -100,7 +100,7 @@
         return None
 
 
-class Nobody(Actor):
+class UnusedPeers(Actor):
     @handles(CallPeer)
     async def _call(self, message: CallPeer) -> None:
         raise AssertionError("no peer is expected to be called")
@@ -113,7 +113,7 @@
 @contextlib.asynccontextmanager
 async def leading(store=None, epoch=1, config=None):
     store = store or MemoryRowStore()
-    peers = Nobody()
+    peers = UnusedPeers()
     ports = {}
 
     def connect(registered):
@@ -149,8 +149,9 @@
             await asyncio.sleep(0.01)
 
 
-def test_job_runs_from_hand_in_to_completion():
-    # Guards against a break anywhere on the whole path inside the leader.
+def test_job_runs_from_submission_to_completion():
+    # Guards against a fault anywhere on the path from submission to completion inside
+    # the leader.
     async def run():
         async with leading() as (store, scheduler, ports):
             new = job("a", Step(3, cores(1)), Step(2, cores(1), after=(0,)))
@@ -164,9 +165,9 @@
     asyncio.run(run())
 
 
-def test_nothing_starts_before_the_store_holds_job_and_place():
-    # Guards against a run of a job whose refusal said that it never runs, and of a
-    # task whose place a successor would not know.
+def test_nothing_starts_before_job_and_placement_are_stored():
+    # Guards against starting a job that is later refused as never run, and against
+    # starting a task whose placement a successor would not know.
     async def run():
         async with leading() as (store, scheduler, ports):
             while len(ports) < 2:
@@ -182,7 +183,7 @@
 
 
 def test_same_id_is_the_same_job():
-    # Guards against a job that runs twice because its answer was lost.
+    # Guards against a job that runs twice because the reply to its submission was lost.
     async def run():
         async with leading() as (_, scheduler, ports):
             first = await scheduler.ask(SubmitStepJob(job("a")))
@@ -195,16 +196,18 @@
 
 
 def test_repeated_job_is_not_accepted_by_the_refusal_of_the_first_call(monkeypatch):
-    # Guards against a job that was accepted and is not known: the first call was
-    # refused unsent while a repetition waited, which then was told that all is well
-    # (hunt of kbwb-arrears, trouble-2 with seed 586699905086).
+    # Guards against a job that is reported as accepted but is unknown: the first call
+    # was refused before its row was sent, and the repeated call that waited for it was
+    # told that the job was accepted (seen in kbwb-arrears trouble-2 with seed
+    # 586699905086).
     monkeypatch.setattr(commits, "UNREACHABLE_MS", 50)
     monkeypatch.setattr(commits, "WATCH_MS", 10)
 
     async def run():
         async with leading() as (store, scheduler, _):
             store.mode = "down"
-            # The rows of the workers are on their way already, so the job is unsent.
+            # The rows of the workers are already being written, so the job's row waits
+            # unsent.
             await asyncio.sleep(0.02)
             calls = [scheduler.ask(SubmitStepJob(job("a"))) for _ in range(2)]
             answers = asyncio.gather(*calls, return_exceptions=True)
@@ -221,8 +224,9 @@
 
 
 def test_repeated_job_waits_only_for_its_own_row():
-    # Guards against callers whose job is stored but who wait for the progress of all
-    # others, on a slow store until their deadline (kbwb-arrears-grown trouble-2).
+    # Guards against clients whose job is stored but who wait until the progress of all
+    # other jobs is stored, on a slow store until their deadline (seen in
+    # kbwb-arrears-grown trouble-2).
     class Slow(MemoryRowStore):
         @handles(CommitRows)
         async def _commit(self, message: CommitRows) -> object:
@@ -241,7 +245,7 @@
                 scheduler._lead.commits.tell(SaveRows((row,)))
             again = asyncio.ensure_future(scheduler.ask(SubmitStepJob(job("a"))))
             await first
-            # The rows of the others take nine transactions of 50 ms.
+            # The rows of the other jobs take nine transactions of 50 ms.
             await asyncio.sleep(0.1)
             assert again.done()
 
@@ -249,7 +253,8 @@
 
 
 def test_unanswered_start_runs_once():
-    # Guards against a task that waits for ever, or runs twice, after a lost answer.
+    # Guards against a task that waits for ever, or runs twice, after the response to
+    # its start was lost.
     async def run():
         async with leading() as (_, scheduler, ports):
             while len(ports) < 2:
@@ -263,8 +268,8 @@
     asyncio.run(run())
 
 
-def test_successor_goes_on_with_what_the_store_has():
-    # Guards against accepted jobs that are lost with their leader.
+def test_successor_continues_from_the_stored_state():
+    # Guards against accepted jobs that are lost when their leader fails.
     async def run():
         store = MemoryRowStore()
         await store.start()
@@ -272,34 +277,34 @@
             await scheduler.ask(SubmitStepJob(job("done")))
             await wait_for_state(scheduler, "done", StepJobState.COMPLETED)
             await scheduler.ask(SubmitStepJob(job("open", Step(40, cores(1)))))
-        async with leading(store, epoch=2) as (_, heir, _):
-            shown = await heir.ask(GetStepJob("done"))
+        async with leading(store, epoch=2) as (_, successor, _):
+            shown = await successor.ask(GetStepJob("done"))
             assert shown.state is StepJobState.COMPLETED
-            assert not (await heir.ask(GetStepJob("open"))).state.is_final
+            assert not (await successor.ask(GetStepJob("open"))).state.is_final
         await store.stop()
 
     asyncio.run(run())
 
 
 def test_successor_without_a_configuration_knows_the_queue():
-    # Guards against a job that fails after one attempt of three, or never runs,
-    # because the new leader has not read the configuration or the queue was dropped
-    # (hunt-a8c3-39 of kbwb-arrears).
+    # Guards against a job that fails after one attempt of three, or never runs, because
+    # the new leader has not read the configuration or the queue was removed from it
+    # (seen in hunt-a8c3-39 of kbwb-arrears).
     async def run():
         store = MemoryRowStore()
         await store.start()
         async with leading(store) as (_, scheduler, _):
             await scheduler.ask(SubmitStepJob(job("a", Step(40, cores(1)))))
-        async with leading(store, epoch=2, config=StepConfig()) as (_, heir, _):
-            assert heir._lead.state.job_by_id["a"].queue == URGENT
-            await wait_for_state(heir, "a", StepJobState.COMPLETED)
+        async with leading(store, epoch=2, config=StepConfig()) as (_, successor, _):
+            assert successor._lead.state.job_by_id["a"].queue == URGENT
+            await wait_for_state(successor, "a", StepJobState.COMPLETED)
         await store.stop()
 
     asyncio.run(run())
 
 
-def test_cancelled_job_is_stored_before_the_answer():
-    # Guards against a cancelled job that runs on after the leader has changed.
+def test_cancelled_job_is_stored_before_the_reply():
+    # Guards against a cancelled job that continues to run after a change of leader.
     async def run():
         async with leading() as (store, scheduler, _):
             FakePort.run_ms = 2_000
@@ -314,7 +319,8 @@
 
 
 def test_unknown_job_and_missing_lead_are_told_apart():
-    # Guards against "no such job" from an instance that cannot know.
+    # Guards against "no such job" from an instance that does not lead and so does not
+    # have the jobs.
     async def run():
         async with leading() as (_, scheduler, _):
             with pytest.raises(JobNotFoundError):
@@ -322,8 +328,8 @@
         follower = StepSchedulerController(
             "own",
             MemoryRowStore(),
-            Nobody(),
-            Nobody(),
+            UnusedPeers(),
+            UnusedPeers(),
             FakePort,
             LeaderDurations(3_000, 120_000),
             SystemClock(),
@@ -338,7 +344,7 @@
 
 
 def test_start_that_was_being_stored_does_not_reach_a_leaving_worker():
-    # Guards against a start on a worker that began to leave while the store was slow.
+    # Guards against a start on a worker that began to drain while the store was slow.
     async def run():
         async with leading() as (store, scheduler, ports):
             while len(ports) < 2:
