--- a/marjoramgrade/controllers/advising.py
+++ b/marjoramgrade/controllers/advising.py
@@ -1,4 +1,4 @@
-"""Asks the placement advisor, which serves one call of an instance at a time."""
+"""Queries the placement advisor, which serves one call per instance at a time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         """Return where a step may run.
 
         Raises:
-            AdvisorError: If no advice came.
+            AdvisorError: If the advisor gave no advice.
         """
 
     @abc.abstractmethod
@@ -29,7 +29,7 @@
     """Owns the connection to the placement advisor.
 
     Args:
-        port: The client.
+        port: The client of the placement advisor.
     """
 
     def __init__(self, port: AdvisorPort) -> None:
--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -1,8 +1,8 @@
-"""Writes the rows of the leader, many changes in one transaction.
+"""Group commit of the leader's rows: many changes in one transaction.
 
-Each transaction checks the row that says who leads, so nothing that a former
-leader sends takes effect, and the version of each row that it writes, so that a
-transaction whose answer was lost can be sent again unchanged.
+Each transaction checks the row that names the leader, so that writes of a former
+leader have no effect, and the version of each row that it writes, so that a
+transaction whose response was lost can be sent again unchanged.
 """
 
 from __future__ import annotations
@@ -39,28 +39,28 @@
 )
 from marjoramgrade.metrics import Metrics
 
-# The store takes 100 entries in a transaction; each row has a check and a write.
+# The store accepts 100 entries per transaction; each row needs a check and a write.
 MAX_ROWS_PER_TRANSACTION = 48
-# A transaction holds 1 MB; base64 makes a third more of each value.
+# The store accepts 1 MB per transaction; base64 makes each value a third larger.
 MAX_BATCH_BYTES = 600_000
-# Between attempts while the store is unavailable.
+# Pause between attempts while the store is unavailable.
 RETRY_MS = 30
-# The store counts as out of reach once a transaction has waited this long. A slow
-# store takes about a second; callers wait three.
+# The store counts as unreachable once a transaction has waited this long. A slow store
+# takes about a second; clients wait three.
 UNREACHABLE_MS = 1_500
 WATCH_MS = 100
 
 
 @attrs.frozen
 class SaveRows(Message[None]):
-    """Asks that rows be written; answered once they and all before them are.
+    """Writes rows; replied to once they and all rows before them are stored.
 
     Attributes:
         writes: The rows.
-        is_refusable: Whether a caller waits who can be refused. Such rows go before the
-            others and are answered by themselves. If the store turns out to be out of
-            reach before they were ever sent, the request is given up with
-            `TableRequiredError`.
+        is_refusable: Whether a client waits for the write and can be refused. Such rows
+            are written before the others and are replied to on their own. If the store
+            turns out to be unreachable before they are first sent, the request fails
+            with `TableRequiredError`.
     """
 
     writes: tuple[RowWrite, ...]
@@ -80,11 +80,13 @@
     Args:
         store: Reads and writes rows.
         epoch: Number of the leadership.
-        epoch_check: The row that says who leads, as this leader wrote it.
-        versions: Versions of the rows that exist.
+        epoch_check: Check of the row that names the leader, at the version that this
+            leader wrote.
+        versions: Version of each existing row.
         clock: Monotonic time.
-        metrics: Counts times.
-        subscribers: Told of the store's confirmations and failures.
+        metrics: Records how long commits take.
+        subscribers: Told when the store confirms the leadership, becomes reachable or
+            unreachable, and when the leadership ends.
     """
 
     def __init__(
@@ -111,12 +113,12 @@
         self._reachable = True
 
     async def on_start(self) -> None:
-        """Start to write."""
+        """Start writing rows and watching the store."""
         self.spawn_critical(self._run())
         self.spawn_critical(self._watch_store())
 
     async def on_stop(self) -> None:
-        """Tell those who wait that nobody writes for them any more."""
+        """Fail the waiting requests."""
         self._fail_all(NotOwnerError("the leadership has ended"))
 
     @handles(SaveRows)
@@ -124,7 +126,7 @@
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.add_done_callback(lambda f: f.cancelled() or f.exception())
         if message.is_refusable and not self._reachable:
-            raise TableRequiredError("the store cannot be reached")
+            raise TableRequiredError("the store is unreachable")
         self._queue.append(_Request(message.writes, message.is_refusable, done))
         self._wake.set()
         return done
@@ -139,8 +141,8 @@
                     return
 
     def _next_batch(self) -> list[_Request]:
-        """Take what the next transaction is to write."""
-        self._put_new_jobs_first()
+        """Remove the requests for the next transaction from the queue."""
+        self._move_new_jobs_first()
         rows: set[RowId] = set()
         size = 0
         batch: list[_Request] = []
@@ -155,11 +157,11 @@
         del self._queue[: len(batch)]
         return batch
 
-    def _put_new_jobs_first(self) -> None:
-        """Let jobs whose callers wait go before the progress of others.
+    def _move_new_jobs_first(self) -> None:
+        """Move jobs whose clients wait before the progress of other jobs.
 
-        A slow store takes fewer rows than the running jobs change. The order of the
-        writes of each row is kept.
+        A slow store writes fewer rows than the running jobs change. The writes of any
+        one row stay in order.
         """
         jobs: list[_Request] = []
         others: list[_Request] = []
@@ -174,7 +176,7 @@
         self._queue = [*jobs, *others]
 
     async def _commit(self, requests: list[_Request]) -> bool:
-        """Write a batch; returns whether the leadership still holds."""
+        """Write a batch; return whether this instance still leads."""
         began_ms = self._clock.now_ms()
         write_by_row = {write.row: write for r in requests for write in r.writes}
         while write_by_row:
@@ -185,7 +187,7 @@
                     self._transaction(write_by_row)
                 )
             except RowCheckFailedError as error:
-                if self._lost_lead(error):
+                if self._has_lost_lead(error):
                     self._end(requests)
                     return False
                 self._reconcile(write_by_row, error)
@@ -193,7 +195,7 @@
             except (TableUnavailableError, WriteOutcomeUnknownError):
                 await asyncio.sleep(RETRY_MS / 1000)
                 continue
-            self._succeeded(write_by_row, answer, asked_ms)
+            self._record_success(write_by_row, answer, asked_ms)
             break
         self._waiting_since_ms = 0
         self._metrics.timing("commit", self._clock.now_ms() - began_ms)
@@ -213,7 +215,7 @@
         )
         return CommitRows((self._epoch_check, *checks), writes)
 
-    def _lost_lead(self, error: RowCheckFailedError) -> bool:
+    def _has_lost_lead(self, error: RowCheckFailedError) -> bool:
         for row in error.rows:
             if isinstance(row, StoredRow) and row.row == self._epoch_check.row:
                 return row.version != self._epoch_check.version
@@ -222,7 +224,10 @@
     def _reconcile(
         self, write_by_row: dict[RowId, RowWrite], error: RowCheckFailedError
     ) -> None:
-        """Find out which writes took effect although their answer was lost."""
+        """Update the versions and drop the writes that took effect unconfirmed.
+
+        A write takes effect unconfirmed if the response to its transaction was lost.
+        """
         current = {row.row: row for row in error.rows if isinstance(row, StoredRow)}
         for row, write in list(write_by_row.items()):
             found = current.get(row)
@@ -240,7 +245,7 @@
             if has_effect:
                 del write_by_row[row]
 
-    def _succeeded(
+    def _record_success(
         self,
         write_by_row: dict[RowId, RowWrite],
         answer: RowsCommitted,
@@ -253,7 +258,7 @@
         self._set_reachable(True)
 
     async def _watch_store(self) -> None:
-        """Refuse what waits in vain while a transaction gets no answer."""
+        """Refuse unsent requests while a transaction gets no response."""
         while True:
             await asyncio.sleep(WATCH_MS / 1000)
             since_ms = self._waiting_since_ms
@@ -262,11 +267,11 @@
                 self._refuse_unsent()
 
     def _refuse_unsent(self) -> None:
-        """Refuse truthfully what was never sent and may be refused."""
+        """Refuse refusable requests; none of those in the queue has been sent."""
         for request in self._queue:
             if request.is_refusable and not request.done.done():
                 request.done.set_exception(
-                    TableRequiredError("the store cannot be reached")
+                    TableRequiredError("the store is unreachable")
                 )
         self._queue = [r for r in self._queue if not r.done.done()]
 
--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -1,4 +1,4 @@
-"""Watches what operators and workers write to the store."""
+"""Watches the configuration, evacuated zones and workers in the store."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 from marjoramgrade.stepconfig import StepConfig
 from marjoramgrade.stepjobs import StepWorker
 
-# A watch waits this long for a change: within it a connection that went silent is
-# noticed, well inside the two seconds in which a change must be in force.
+# Longest time that a watch waits for a change. An unresponsive connection is detected
+# within this time, well within the two seconds in which a change must be in force.
 WATCH_WAIT_MS = 1_000
 RETRY_MS = 100
-# Every worker changes its entry with each heartbeat, 120 times a second in a fleet of
-# 176. Looking this long after the last look costs a call for many of them; a worker
-# that leaves says so two seconds before work must stop going there.
+# Every worker updates its entry with each heartbeat: 120 updates a second in a fleet of
+# 176. Pausing this long after each page lets one call fetch many of them. The delay is
+# harmless: a worker that leaves says so two seconds before it must get no more work.
 WORKER_WATCH_PAUSE_MS = 150
 
 
 @attrs.frozen
 class DirectoryFormat:
-    """Where operators and workers write, and how to read it.
+    """Tables and keys that operators and workers write, and how to parse them.
 
     Attributes:
-        operator_table: Table of the operators.
-        worker_table: Table of the workers.
+        operator_table: Table that operators write.
+        worker_table: Table that workers write.
         config_key: Key of the configuration in the operators' table.
-        evacuation_prefix: Start of the keys that name evacuated zones.
-        parse_config: Reads a configuration.
-        parse_worker: Reads the entry of a worker.
+        evacuation_prefix: Prefix of the keys that name evacuated zones.
+        parse_config: Parses a configuration.
+        parse_worker: Parses the entry of a worker from its key and value.
     """
 
     operator_table: str
@@ -60,14 +60,14 @@
 
 
 class DirectoryController(Actor):
-    """Owns the newest configuration and the list of workers.
+    """Owns the latest configuration and the list of workers.
 
     Args:
         store: Reads rows.
-        format: Where they lie and how to read them.
-        metrics: Counters.
-        subscribers: Told of each change of the configuration.
-        scheduler: Told of the workers while it asks for them.
+        format: Where the rows are and how to parse them.
+        metrics: Counts failed watches.
+        subscribers: Told of each change of the configuration or the evacuated zones.
+        scheduler: Told of the workers while their watch is enabled.
     """
 
     def __init__(
@@ -91,9 +91,9 @@
         self._worker_watch: asyncio.Task[None] | None = None
 
     async def on_start(self) -> None:
-        """Start to watch the operators' table."""
+        """Start watching the operators' table."""
         self.spawn_critical(
-            self._watch(self._format.operator_table, self._operators_wrote, 0)
+            self._watch(self._format.operator_table, self._apply_operator_rows, 0)
         )
 
     @handles(WatchWorkers)
@@ -106,7 +106,7 @@
             self._worker_watch = self.spawn(
                 self._watch(
                     self._format.worker_table,
-                    self._workers_wrote,
+                    self._apply_worker_rows,
                     WORKER_WATCH_PAUSE_MS,
                 )
             )
@@ -127,7 +127,7 @@
                     await changed.wait()
         except TimeoutError:
             raise StaleAuthorityError(
-                f"version {message.version} of the configuration is not here yet"
+                f"configuration version {message.version} has not arrived yet"
             ) from None
         return self._config
 
@@ -137,12 +137,12 @@
         changed: Callable[[tuple[StoredRow, ...], bool], None],
         pause_ms: int,
     ) -> None:
-        """Read a table whole, then its changes, and again whole after a gap."""
+        """Read a whole table, then its changes; start over if history was lost."""
         after: int | None = None
         while True:
             try:
                 if after is None:
-                    rows, after = await self._read_whole(table)
+                    rows, after = await self._read_table(table)
                     changed(rows, True)
                 page = await self._store.ask(WatchRows(table, after, WATCH_WAIT_MS))
                 after = page.version
@@ -157,7 +157,7 @@
                 logs.log_event("watch_failed", table=table, code=error.code)
                 await asyncio.sleep(RETRY_MS / 1000)
 
-    async def _read_whole(self, table: str) -> tuple[tuple[StoredRow, ...], int]:
+    async def _read_table(self, table: str) -> tuple[tuple[StoredRow, ...], int]:
         rows: dict[str, StoredRow] = {}
         version: int | None = None
         first = ""
@@ -171,10 +171,12 @@
 
     # Operators
 
-    def _operators_wrote(self, rows: tuple[StoredRow, ...], is_whole: bool) -> None:
+    def _apply_operator_rows(
+        self, rows: tuple[StoredRow, ...], is_complete: bool
+    ) -> None:
         config, evacuated = self._config, set(self._evacuated)
         prefix = self._format.evacuation_prefix
-        if is_whole:
+        if is_complete:
             evacuated.clear()
         for row in rows:
             if row.row.key.startswith(prefix):
@@ -183,7 +185,7 @@
                 if not row.deleted:
                     evacuated.add(zone)
             elif row.row.key == self._format.config_key and not row.deleted:
-                config = self._newer(config, row)
+                config = self._parse_newer(config, row)
         if config is self._config and evacuated == self._evacuated:
             return
         if evacuated != self._evacuated:
@@ -193,26 +195,28 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _newer(self, config: StepConfig, row: StoredRow) -> StepConfig:
+    def _parse_newer(self, config: StepConfig, row: StoredRow) -> StepConfig:
         try:
-            read = self._format.parse_config(row.value)
+            parsed = self._format.parse_config(row.value)
         except InvalidInputError as error:
             logs.log_event("config_unreadable", reason=error.message)
             return config
-        if read.version <= config.version:
+        if parsed.version <= config.version:
             return config
         logs.log_event(
             "config_in_force",
-            version=read.version,
-            queues=len(read.queue_by_name),
-            teams=len(read.team_by_name),
+            version=parsed.version,
+            queues=len(parsed.queue_by_name),
+            teams=len(parsed.team_by_name),
         )
-        return read
+        return parsed
 
     # Workers
 
-    def _workers_wrote(self, rows: tuple[StoredRow, ...], is_whole: bool) -> None:
-        if is_whole:
+    def _apply_worker_rows(
+        self, rows: tuple[StoredRow, ...], is_complete: bool
+    ) -> None:
+        if is_complete:
             self._worker_by_id.clear()
         for row in rows:
             if row.deleted:
--- a/tests/rowstore.py
+++ b/tests/rowstore.py
@@ -1,4 +1,4 @@
-"""A store of rows in memory that misbehaves on request."""
+"""A row store in memory with fault injection."""
 
 from __future__ import annotations
 
@@ -26,10 +26,14 @@
     """Handles the messages of the store.
 
     Attributes:
-        rows: The rows.
-        mode: `ok`, `down` (nothing is done), `lost` (done and not answered), `late`
-            (neither answered nor done until `apply_late`), or `hang`.
-        commits: How many transactions came.
+        rows: The stored rows by id.
+        version: Version of the newest transaction.
+        mode: `ok`, `down` (requests fail and have no effect), `lost` (transactions are
+            applied but their outcome is unknown), `late` (transactions have an unknown
+            outcome and are applied only by `apply_late`), or `hang` (transactions get
+            no response and reads fail).
+        commits: Number of transactions received.
+        late: Transactions that `apply_late` will apply.
     """
 
     def __init__(self) -> None:
@@ -41,7 +45,7 @@
         self.late: list[CommitRows] = []
 
     def apply(self, message: CommitRows) -> RowsCommitted:
-        """Apply a transaction at once."""
+        """Apply a transaction at once, whatever the mode."""
         current = []
         for check in message.checks:
             row = self.rows.get(check.row)
@@ -59,7 +63,7 @@
         return RowsCommitted(self.version)
 
     def apply_late(self) -> None:
-        """Carry out what was late, if its checks still hold."""
+        """Apply the late transactions whose checks still hold."""
         for message in self.late:
             try:
                 self.apply(message)
@@ -76,10 +80,10 @@
             return self.spawn(asyncio.sleep(3_600))
         if self.mode == "late":
             self.late.append(message)
-            raise WriteOutcomeUnknownError("no answer")
+            raise WriteOutcomeUnknownError("no response")
         answer = self.apply(message)
         if self.mode == "lost":
-            raise WriteOutcomeUnknownError("no answer")
+            raise WriteOutcomeUnknownError("no response")
         return answer
 
     @handles(ReadRows)
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""Group commits of the leader."""
+"""Tests of the group commits of the leader."""
 
 from __future__ import annotations
 
@@ -69,8 +69,8 @@
     return SaveRows((RowWrite(row, value),), **kwargs)
 
 
-def test_requests_of_one_moment_share_a_transaction():
-    # Guards against a transaction for each job, which the store would refuse.
+def test_simultaneous_requests_share_a_transaction():
+    # Guards against one transaction for each job, which the store would refuse.
     async def run():
         async with leading() as (store, controller, _):
             rows = [RowId("jobs", "p0", f"{n}") for n in range(20)]
@@ -81,8 +81,8 @@
     asyncio.run(run())
 
 
-def test_lost_answer_is_resolved_and_the_row_stays_writable():
-    # Guards against a job that is stored and reported as unknown for ever.
+def test_lost_response_is_resolved_and_the_row_stays_writable():
+    # Guards against a job that is stored but whose outcome stays unknown for ever.
     async def run():
         async with leading() as (store, controller, _):
             store.mode = "lost"
@@ -127,7 +127,7 @@
 
 
 def test_unsent_job_is_refused_while_the_store_does_not_answer(monkeypatch):
-    # Guards against callers who wait until their deadline for a store that is away.
+    # Guards against clients that wait until their deadline for an unreachable store.
     monkeypatch.setattr(commits, "UNREACHABLE_MS", 50)
     monkeypatch.setattr(commits, "WATCH_MS", 10)
 
@@ -149,7 +149,7 @@
 
 
 def test_row_is_removed_once():
-    # Guards against a removal that fails because the row is gone already.
+    # Guards against a removal that fails because the row is already removed.
     async def run():
         async with leading() as (store, controller, _):
             await controller.ask(save(b"x"))
@@ -161,8 +161,8 @@
     asyncio.run(run())
 
 
-async def order_of_commits(*saves):
-    """Return the rows of each transaction that follows one which is on its way."""
+async def commit_behind_slow_transaction(*saves):
+    """Save rows during a slow transaction; return the row keys of each later one."""
 
     class Slow(MemoryRowStore):
         def __init__(self):
@@ -187,17 +187,19 @@
 
 
 def test_new_job_goes_before_the_progress_of_others():
-    # Guards against callers who wait until their deadline while a slow store takes the
-    # progress of all running jobs, 48 rows in 0.7 s (kbwb-arrears-grown trouble-2).
+    # Guards against clients that wait until their deadline while a slow store writes
+    # the progress of all running jobs, 48 rows in 0.7 s (seen in kbwb-arrears-grown
+    # trouble-2).
     progress = [save(b"p", RowId("progress", "p0", f"p{n}")) for n in range(120)]
     job = save(b"j", RowId("jobs", "p0", "new"), is_refusable=True)
-    batches = asyncio.run(order_of_commits(*progress, job))
+    batches = asyncio.run(commit_behind_slow_transaction(*progress, job))
     assert len(batches) == 3
     assert "new" in batches[0]
 
 
 def test_new_job_does_not_go_before_a_removal_of_its_row():
-    # Guards against a job that is handed in again and then removed with its first life.
+    # Guards against a job that is submitted again and whose new row is then removed by
+    # the earlier removal of its old row.
     row = RowId("jobs", "p0", "again")
     remove = SaveRows((RowWrite(row, remove=True),))
     again = save(b"j", row, is_refusable=True)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""What operators and workers write to the store."""
+"""Tests of the watch of the configuration and the workers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class BusyStore(Actor):
-    """A store in which a worker has always just written."""
+    """A store in which some worker updates its entry every 5 ms."""
 
     def __init__(self):
         super().__init__()
@@ -37,9 +37,9 @@
 
     @handles(WatchRows)
     async def _watch(self, message: WatchRows) -> object:
-        return self.spawn(self._answer(message.table))
+        return self.spawn(self._next_update(message.table))
 
-    async def _answer(self, table):
+    async def _next_update(self, table):
         if table != "workers":
             await asyncio.sleep(60)
         await asyncio.sleep(0.005)
@@ -59,8 +59,8 @@
 
 
 def test_heartbeats_of_a_large_fleet_share_calls():
-    # Guards against a call to the store for each heartbeat of each worker, 100 a second
-    # and half of all calls (kbwb-arrears-grown quiet-1).
+    # Guards against one call to the store for each heartbeat of each worker: 100 calls
+    # a second, half of all calls (seen in kbwb-arrears-grown quiet-1).
     async def run():
         store, scheduler = BusyStore(), Scheduler()
         directory = DirectoryController(
