--- a/marjoramgrade/controllers/peers.py
+++ b/marjoramgrade/controllers/peers.py
@@ -1,4 +1,4 @@
-"""Finds the other instances through the store and reaches them."""
+"""Discovers the other instances through the store and connects to them."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     serialize_row,
 )
 
-# Between looks at the list of instances; soon after the start they follow faster,
+# Pause between reads of the list of instances. The first reads are more frequent,
 # because all instances start at about the same time.
 REFRESH_MS = 4_000
 FIRST_REFRESH_MS = 400
@@ -49,9 +49,9 @@
     """Owns the list of instances and the links to them.
 
     Args:
-        own: This instance.
+        own: This instance as a member.
         store: Reads and writes rows.
-        make_link: Makes the link to another instance.
+        make_link: Creates the link to another instance.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self._subscribers = subscribers
 
     async def on_start(self) -> None:
-        """Start to look for other instances."""
+        """Start looking for other instances."""
         self.spawn_critical(self._run())
 
     async def on_stop(self) -> None:
@@ -83,7 +83,7 @@
     async def _call(self, message: CallPeer) -> Any:
         link = self._link_by_id.get(message.instance_id)
         if link is None:
-            raise OwnerUnreachableError(f"{message.instance_id} is not known")
+            raise OwnerUnreachableError(f"instance {message.instance_id} is unknown")
         return self.spawn(link.ask(CallOverLink(message.message, message.timeout_ms)))
 
     @handles(TellPeers)
@@ -92,16 +92,16 @@
             link.tell(TellOverLink(message.message))
 
     async def _run(self) -> None:
-        looks = 0
+        refreshes = 0
         while True:
             try:
                 if not self._registered:
                     await self._register()
                 await self._refresh()
-                looks += 1
+                refreshes += 1
             except TableError as error:
                 logs.log_event("members_unread", code=error.code)
-            pause_ms = FIRST_REFRESH_MS if looks < FIRST_REFRESHES else REFRESH_MS
+            pause_ms = FIRST_REFRESH_MS if refreshes < FIRST_REFRESHES else REFRESH_MS
             await asyncio.sleep(pause_ms / 1000)
 
     async def _register(self) -> None:
@@ -115,7 +115,8 @@
                 CommitRows((RowCheck(row, self._own_version),), (RowWrite(row, value),))
             )
         except RowCheckFailedError as error:
-            # An earlier life of this instance has registered.
+            # An earlier incarnation of this instance has registered; the next attempt
+            # replaces its row.
             for found in error.rows:
                 self._own_version = getattr(found, "version", ABSENT)
             return
@@ -124,7 +125,7 @@
     async def _refresh(self) -> None:
         page: RowsPage = await self._store.ask(ReadRows(MEMBERS_TABLE, ""))
         found: dict[str, Member] = {self._own.instance_id: self._own}
-        # The version tells a new life of an instance from the one before.
+        # The row version distinguishes the incarnations of an instance.
         for row in page.rows:
             try:
                 member = parse_row(row.value, MemberRow)
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -1,4 +1,4 @@
-"""The leader's connection to one worker: orders, leases and listings."""
+"""The leader's connection to one worker: orders, lease renewals and run listings."""
 
 from __future__ import annotations
 
@@ -34,32 +34,33 @@
 )
 from marjoramgrade.stepjobs import StepWorker, WorkerListing
 
-# A listing waits this long for an end; then it reports progress. A worker that is cut
-# off is noticed only at the end of that time.
+# A listing waits this long for a run to end; then it reports progress. A worker that is
+# cut off is detected only after this time.
 LISTING_WAIT_MS = 600
-# The same while calls go unanswered: an end that comes during a lost call is seen
-# only after the next one.
+# The shorter wait while calls to workers get no response: an end that occurs during a
+# lost call is seen only with the next one.
 ALERT_WAIT_MS = 200
-# While ends wait to be stored, or have just come, the worker is asked again after
-# this time; it would answer at once each time.
+# While ends that the worker lists are not yet stored, the next listing is requested
+# after this time, since the worker would respond to it at once.
 ACKNOWLEDGEMENT_WAIT_MS = 120
-# After a call that brought no answer.
+# Pause after a listing that failed.
 RETRY_DELAY_MS = 150
-# A worker counts as silent after this many calls in a row without an answer.
+# A worker counts as unresponsive after this many consecutive failed listings.
 FAILURES_TO_UNRESPONSIVE = 2
 
 
 class StepWorkerLink(Actor):
-    """Owns the calls to one life of a worker.
+    """Owns the calls to one incarnation of a worker.
 
     Args:
         worker: The worker.
-        port: Its client.
-        scheduler: Told what the worker says.
+        port: The client of the worker.
+        scheduler: Told of listings, start results and failed calls.
         clock: Monotonic time.
-        worker_lease_ms: Length of the leases that are granted.
-        fence: The first fence.
-        earliest_expiry_ms: Our time after which leases of earlier leaders have run out.
+        worker_lease_ms: Duration of the leases that are granted.
+        fence: The first fencing token.
+        earliest_expiry_ms: Time on this instance's clock after which leases of earlier
+            leaders have expired.
     """
 
     def __init__(
@@ -90,36 +91,37 @@
         self._alert_until_ms = 0
 
     async def on_start(self) -> None:
-        """Start to list the worker's runs."""
-        self.spawn_critical(self._keep_listing())
+        """Start listing the worker's runs."""
+        self.spawn_critical(self._list_forever())
 
     async def on_stop(self) -> None:
         """Close the connections."""
         self._port.close()
 
     @handles(AllowLeaseRenewal)
-    async def _grant(self, message: AllowLeaseRenewal) -> None:
+    async def _allow_renewal(self, message: AllowLeaseRenewal) -> None:
         self._grant_until_ms = message.until_ms
 
     @handles(ShortenListingWaits)
-    async def _alert(self, message: ShortenListingWaits) -> None:
+    async def _shorten_waits(self, message: ShortenListingWaits) -> None:
         is_first = self._clock.now_ms() >= self._alert_until_ms
         self._alert_until_ms = message.until_ms
         if is_first:
-            # The listing on its way would show only at its end that nobody answers.
+            # The pending listing would show only after its wait that the worker is
+            # unresponsive.
             self.spawn(self._list(0))
 
     @handles(AcknowledgeRunEnds)
     async def _acknowledge(self, message: AcknowledgeRunEnds) -> None:
         if message.born_unix_ms != self._born_unix_ms:
-            # The ends of this life have numbers of their own, which are not stored.
+            # Each incarnation numbers its own ends; those of this one are not stored.
             return
         if message.number > self._acknowledged:
             self._acknowledged = message.number
             self._changed.set()
 
     @handles(RaiseFence)
-    async def _sync(self, message: RaiseFence) -> None:
+    async def _raise_fence(self, message: RaiseFence) -> None:
         self._fence = max(self._fence, message.fence)
         self.spawn(self._list_now())
 
@@ -177,7 +179,7 @@
         try:
             await self._port.stop(message.task, message.run, message.fence)
         except WorkerError as error:
-            # The supervisor sends it again until the end is listed.
+            # The supervisor sends the stop again until the end is listed.
             self._log_failure("stop_failed", message.task.job_id, error)
 
     async def _send_pace(self, message: SendRunPace) -> None:
@@ -203,10 +205,10 @@
         return self._clock.now_ms() < self._grant_until_ms
 
     def _next_expiry(self) -> int:
-        """Return when the lease is to end, on the worker's clock; 0 to keep it.
+        """Return when the lease shall expire on the worker's clock; 0 for no change.
 
-        While the worker does not answer, its lease is not extended: an order that
-        is carried out late must not keep runs alive that count as lost.
+        The lease of an unresponsive worker is not extended: an order that is carried
+        out late must not keep runs alive that count as lost.
         """
         if not self._lease.clock_received_ms or self._failures or not self._may_grant():
             return self._lease.granted_until_clock_ms
@@ -217,19 +219,19 @@
         )
         return self._lease.granted_until_clock_ms
 
-    async def _keep_listing(self) -> None:
+    async def _list_forever(self) -> None:
         while True:
-            wait_ms = self._wait_ms() if self._is_settled() else 0
+            wait_ms = self._wait_ms() if self._is_fully_acknowledged() else 0
             if not await self._list(wait_ms):
                 await asyncio.sleep(RETRY_DELAY_MS / 1000)
-            elif not self._is_settled():
+            elif not self._is_fully_acknowledged():
                 await self._wait_for_acknowledgement()
 
     def _wait_ms(self) -> int:
         is_alert = self._clock.now_ms() < self._alert_until_ms
         return ALERT_WAIT_MS if is_alert else LISTING_WAIT_MS
 
-    def _is_settled(self) -> bool:
+    def _is_fully_acknowledged(self) -> bool:
         return (
             bool(self._lease.clock_received_ms) and self._acknowledged >= self._last_end
         )
@@ -238,7 +240,7 @@
         self._changed.clear()
         try:
             async with asyncio.timeout(ACKNOWLEDGEMENT_WAIT_MS / 1000):
-                while not self._is_settled():
+                while not self._is_fully_acknowledged():
                     await self._changed.wait()
                     self._changed.clear()
         except TimeoutError:
@@ -250,7 +252,7 @@
             await asyncio.sleep(RETRY_DELAY_MS / 1000)
 
     async def _list(self, wait_ms: int) -> bool:
-        """List the runs once; returns whether the worker answered."""
+        """List the runs once; return whether the worker responded."""
         fence, asked_ms = self._fence, self._clock.now_ms()
         try:
             listing = await self._port.renew(
@@ -259,16 +261,16 @@
         except WorkerRefusedError as error:
             if error.reason == "fence" and fence < self._fence:
                 return True
-            return self._failed(error)
+            return self._record_failure(error)
         except (WorkerError, InvalidInputError) as error:
-            return self._failed(error)
-        self._heard(listing)
+            return self._record_failure(error)
+        self._record_listing(listing)
         self._scheduler.tell(
             WorkerListingReceived(self._worker_id, listing, fence, asked_ms)
         )
         return True
 
-    def _heard(self, listing: WorkerListing) -> None:
+    def _record_listing(self, listing: WorkerListing) -> None:
         if listing.born_unix_ms > self._born_unix_ms:
             self._born_unix_ms = listing.born_unix_ms
             self._acknowledged = self._last_end = 0
@@ -283,7 +285,7 @@
         self._failures = 0
         self._reported_expiry = False
 
-    def _failed(self, error: WorkerError | InvalidInputError) -> bool:
+    def _record_failure(self, error: WorkerError | InvalidInputError) -> bool:
         self._failures += 1
         self._scheduler.tell(WorkerCallUnanswered(self._worker_id))
         if self._failures == FAILURES_TO_UNRESPONSIVE:
@@ -293,7 +295,7 @@
                 code=error.code,
                 reason=error.message,
             )
-        # Another life at the worker's address means that this one has ended.
+        # Another incarnation at the worker's address means that this one has ended.
         expired = isinstance(error, WorkerReplacedError) or self._lease.has_expired(
             self._clock.now_ms()
         )
--- a/marjoramgrade/controllers/storerouter.py
+++ b/marjoramgrade/controllers/storerouter.py
@@ -1,7 +1,7 @@
-"""The way to the store: direct, or through another instance that reaches it.
+"""Routes store requests: directly, or relayed by an instance that reaches the store.
 
-The store may turn some instances away or be cut off from them while it serves
-the others.
+The store may refuse some instances, or be cut off from them, while it serves the
+others.
 """
 
 from __future__ import annotations
@@ -24,38 +24,38 @@
 from marjoramgrade.messages.steps import StorePathStatus
 from marjoramgrade.steprows import MEMBERS_TABLE
 
-# While the direct way fails, a read is sent aside at this interval without waiting for
-# the ones before it: what was sent while the store was silent is never answered.
+# While the direct path fails, a probe read is sent at this interval without waiting
+# for earlier ones: requests sent while the store was unresponsive never get a response.
 PROBE_MS = 200
-# The interval while a write waits: callers come back up to five times within their
-# three seconds, so each tenth of a second turns some away for the last time.
+# The interval while a write waits. Clients retry up to five times within their three
+# seconds, so with each tenth of a second some have their last retry refused.
 URGENT_PROBE_MS = 80
-# A slow store answers a read within 400 ms. What was sent while it was silent is never
-# answered and must not keep its connection.
+# A slow store responds to a read within 400 ms. Requests sent while it was unresponsive
+# never get a response and must not hold their connections.
 PROBE_TIMEOUT_MS = 500
-# Reads that may be under way at a time for that; the link keeps 12 connections.
+# Maximum number of concurrent probe reads; the link has 12 connections.
 MAX_PROBES = 7
-# A write that has not been answered for this long may have been lost. The time doubles
-# with each write that is given up, so that a store which needs longer is not sent the
-# same write again and again.
+# A write without a response for this long may have been lost. The time doubles with
+# each abandoned write, so that a store that needs longer is not sent the same write
+# again and again.
 INITIAL_OVERDUE_MS = 400
 MAX_OVERDUE_MS = 3_200
 # A slow store takes about three times as long for a write as for a read.
 SLOW_WRITE_FACTOR = 3
-# A relay that answers does so within the time that the store takes; a cut one is
-# given up after this.
+# A working relay replies within the time that the store takes; a request to a relay
+# that is cut off is abandoned after this time.
 RELAY_TIMEOUT_MS = 800
-# Instances that are asked to relay one call.
+# Maximum number of instances that are asked to relay one request.
 MAX_RELAYS = 3
 
 
 class StoreRouter(Actor):
-    """Handles the messages of the store by whichever way works.
+    """Sends store requests by whichever path works.
 
     Args:
         instance_id: Id of this instance.
-        link: The direct connection.
-        peers: Reaches the other instances.
+        link: The direct connection to the store.
+        peers: Sends messages to the other instances.
     """
 
     def __init__(self, instance_id: str, link: Actor, peers: Actor) -> None:
@@ -70,7 +70,7 @@
         self._subscribers: tuple[Actor, ...] = ()
 
     def connect(self, subscribers: tuple[Actor, ...]) -> None:
-        """Set the controllers that are told which way works."""
+        """Set the controllers that are told which path works."""
         self._subscribers = subscribers
 
     @handles(MembersChanged)
@@ -94,36 +94,38 @@
         return self.spawn(self._send(message, message.wait_ms))
 
     async def _send_write(self, message: CommitRows) -> Any:
-        """Write, but give a lost write up as soon as the store answers reads.
+        """Write, but abandon a lost write once the store responds to reads.
 
         Raises:
-            WriteOutcomeUnknownError: If the write may have been made.
+            WriteOutcomeUnknownError: If the write may have taken effect.
         """
         write = asyncio.ensure_future(self._send(message, 0))
-        answering = asyncio.ensure_future(self._await_answering_store())
+        overdue = asyncio.ensure_future(self._await_write_overdue())
         try:
-            await asyncio.wait((write, answering), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((write, overdue), return_when=asyncio.FIRST_COMPLETED)
             if not write.done():
                 self._overdue_ms = min(2 * self._overdue_ms, MAX_OVERDUE_MS)
-                self._regained_direct()
-                raise WriteOutcomeUnknownError("the store answers, but not this write")
+                self._mark_direct_regained()
+                raise WriteOutcomeUnknownError(
+                    "the store responds to reads, but not to this write"
+                )
             self._overdue_ms = INITIAL_OVERDUE_MS
             return write.result()
         finally:
             write.cancel()
-            answering.cancel()
+            overdue.cancel()
 
-    async def _await_answering_store(self) -> None:
-        """Return once a write that was just sent must be taken for lost."""
+    async def _await_write_overdue(self) -> None:
+        """Return once a write that was just sent must be considered lost."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         await asyncio.sleep(self._overdue_ms / 1000)
-        took_s = await self._first_answer_s(URGENT_PROBE_MS)
+        took_s = await self._probe_until_response_s(URGENT_PROBE_MS)
         lost_s = self._overdue_ms / 1000 + SLOW_WRITE_FACTOR * took_s
         await asyncio.sleep(max(0.0, began_s + lost_s - loop.time()))
 
-    async def _first_answer_s(self, interval_ms: int) -> float:
-        """Read directly until the store answers; returns how long it took."""
+    async def _probe_until_response_s(self, interval_ms: int) -> float:
+        """Probe the store until it responds; return how long that probe took."""
         loop = asyncio.get_running_loop()
         probes: set[asyncio.Task[float | None]] = set()
         try:
@@ -146,7 +148,7 @@
                 probe.cancel()
 
     async def _probe_s(self) -> float | None:
-        """Read a row directly; returns how long it took, None without an answer."""
+        """Read a row directly; return how long it took, None if the read failed."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         try:
@@ -154,7 +156,7 @@
                 ReadRows(MEMBERS_TABLE, "", limit=1, timeout_ms=PROBE_TIMEOUT_MS)
             )
         except MarjoramgradeError:
-            # Whatever is wrong, the direct way does not work yet.
+            # Whatever the error, the direct path does not work yet.
             return None
         return loop.time() - began_s
 
@@ -163,14 +165,16 @@
             try:
                 return await self._link.ask(message)
             except WriteOutcomeUnknownError as error:
-                self._lost_direct(error.message)
+                self._mark_direct_lost(error.message)
                 raise
             except TableUnavailableError as error:
-                self._lost_direct(error.message)
+                self._mark_direct_lost(error.message)
         return await self._send_relayed(message, wait_ms)
 
     async def _send_relayed(self, message: Message[Any], wait_ms: int) -> Any:
-        failure: MarjoramgradeError = TableUnavailableError("the store is cut off")
+        failure: MarjoramgradeError = TableUnavailableError(
+            "no path to the store works"
+        )
         for _ in range(min(MAX_RELAYS, len(self._members))):
             member = self._members[self._relay % len(self._members)]
             try:
@@ -186,7 +190,7 @@
                 failure = TableUnavailableError(error.message)
                 continue
             except TableError:
-                # A check that failed, or lost history, is an answer of the store.
+                # A failed row check or lost history is a response of the store.
                 self._tell(StorePathStatus(self._is_direct, True))
                 raise
             else:
@@ -195,7 +199,7 @@
             self._relay += 1
         raise failure
 
-    def _lost_direct(self, reason: str) -> None:
+    def _mark_direct_lost(self, reason: str) -> None:
         if not self._is_direct:
             return
         self._is_direct = False
@@ -205,10 +209,10 @@
 
     async def _probe(self) -> None:
         while not self._is_direct:
-            await self._first_answer_s(PROBE_MS)
-            self._regained_direct()
+            await self._probe_until_response_s(PROBE_MS)
+            self._mark_direct_regained()
 
-    def _regained_direct(self) -> None:
+    def _mark_direct_regained(self) -> None:
         if self._is_direct:
             return
         self._is_direct = True
--- a/marjoramgrade/controllers/workerport.py
+++ b/marjoramgrade/controllers/workerport.py
@@ -1,4 +1,4 @@
-"""What the scheduler of steps needs of the connection to a worker."""
+"""Interface of the connection to a worker, as the step scheduler uses it."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class WorkerPort(abc.ABC):
     """Base class of the clients of one worker.
 
-    Every order carries a fence; a worker does nothing for one below the highest
-    that it has seen. Every call can raise `WorkerUnreachableError` (nothing was
-    sent), `WorkerUnresponsiveError` (it may be carried out later),
+    Every order carries a fencing token; a worker ignores orders whose token is below
+    the highest that it has seen. Every call can raise `WorkerUnreachableError` (nothing
+    was sent), `WorkerUnresponsiveError` (the order may be carried out later),
     `WorkerReplacedError` and `WorkerRefusedError` (nothing was done).
     """
 
@@ -21,8 +21,8 @@
         """Start a run and renew the lease.
 
         Args:
-            order: The run.
-            fence: The fence.
+            order: The run to start.
+            fence: The fencing token.
             expires_clock_ms: When the lease ends, on the worker's clock.
 
         Returns:
@@ -31,11 +31,15 @@
 
     @abc.abstractmethod
     async def stop(self, task: TaskRef, run: int, fence: int) -> int:
-        """Stop a run; returns the worker's clock in milliseconds."""
+        """Stop a run; return the worker's clock in milliseconds."""
 
     @abc.abstractmethod
     async def pace(self, task: TaskRef, run: int, percent: int, fence: int) -> int:
-        """Let a run work at a share of its speed; returns the worker's clock."""
+        """Set the pace of a run in percent of its speed.
+
+        Returns:
+            The worker's clock in milliseconds.
+        """
 
     @abc.abstractmethod
     async def renew(
@@ -44,11 +48,12 @@
         """Renew the lease and list the runs.
 
         Args:
-            fence: The fence.
+            fence: The fencing token.
             expires_clock_ms: When the lease ends, on the worker's clock; 0 to leave
-                it as it is.
-            acknowledged: Ends up to this number are forgotten.
-            wait_ms: Longest time to wait for an end.
+                it unchanged.
+            acknowledged: The worker discards run ends up to this number.
+            wait_ms: Longest time that the worker waits for a run to end before it
+                responds.
         """
 
     @abc.abstractmethod
--- a/tests/test_stepworkerlink.py
+++ b/tests/test_stepworkerlink.py
@@ -1,4 +1,4 @@
-"""The leader's connection to one worker."""
+"""Tests of the leader's connection to one worker."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from marjoramgrade.stepjobs import RunEnd, RunEndStatus, StartOrder, WorkerListing
 from tests.steps import ref, worker
 
-HOLD_MS = 300
+WORKER_LEASE_MS = 300
 
 
 class Port(WorkerPort):
@@ -41,7 +41,7 @@
     def clock(self):
         return SystemClock().now_ms()
 
-    async def _answer(self, *call):
+    async def _respond(self, *call):
         self.calls.append(call)
         await asyncio.sleep(0.005)
         if self.error is not None:
@@ -49,16 +49,16 @@
         return self.clock()
 
     async def start(self, order, fence, expires_clock_ms):
-        return await self._answer("start", fence, expires_clock_ms)
+        return await self._respond("start", fence, expires_clock_ms)
 
     async def stop(self, task, run, fence):
-        return await self._answer("stop", fence)
+        return await self._respond("stop", fence)
 
     async def pace(self, task, run, percent, fence):
-        return await self._answer("pace", fence)
+        return await self._respond("pace", fence)
 
     async def renew(self, fence, expires_clock_ms, acknowledged, wait_ms):
-        clock = await self._answer("renew", fence, expires_clock_ms, acknowledged)
+        clock = await self._respond("renew", fence, expires_clock_ms, acknowledged)
         return WorkerListing(1_000, clock, (), self.ended)
 
     def close(self):
@@ -75,25 +75,25 @@
         self.received.append(message)
 
     @handles(WorkerUnresponsive)
-    async def _silent(self, message: WorkerUnresponsive) -> None:
+    async def _unresponsive(self, message: WorkerUnresponsive) -> None:
         self.received.append(message)
 
     @handles(RunStartResult)
-    async def _answered(self, message: RunStartResult) -> None:
+    async def _started(self, message: RunStartResult) -> None:
         self.received.append(message)
 
     @handles(WorkerCallUnanswered)
     async def _unanswered(self, message: WorkerCallUnanswered) -> None:
         self.received.append(message)
 
-    def of(self, kind):
+    def received_of(self, kind):
         return [message for message in self.received if isinstance(message, kind)]
 
 
 @contextlib.asynccontextmanager
-async def linked(granted=True):
+async def link_to_worker(granted=True):
     port, scheduler, clock = Port(), Scheduler(), SystemClock()
-    link = StepWorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
+    link = StepWorkerLink(worker("w"), port, scheduler, clock, WORKER_LEASE_MS, 10, 0)
     async with contextlib.AsyncExitStack() as stack:
         for actor in (scheduler, link):
             await actor.start()
@@ -101,7 +101,7 @@
         if granted:
             link.tell(AllowLeaseRenewal(clock.now_ms() + 60_000))
         async with asyncio.timeout(3):
-            while not scheduler.of(WorkerListingReceived):
+            while not scheduler.received_of(WorkerListingReceived):
                 await asyncio.sleep(0.005)
         yield link, port, scheduler
 
@@ -110,51 +110,54 @@
     return SendRunStart(StartOrder(ref("a"), 1, "x"), 10)
 
 
-async def answer_to_start(link, scheduler):
+async def result_of_start(link, scheduler):
     link.tell(start())
     async with asyncio.timeout(3):
-        while not scheduler.of(RunStartResult):
+        while not scheduler.received_of(RunStartResult):
             await asyncio.sleep(0.005)
-    return scheduler.of(RunStartResult)[0]
+    return scheduler.received_of(RunStartResult)[0]
 
 
-def test_start_outcomes_are_told_apart():
-    # Guards against a lost answer that is taken for a refusal: the task would start
-    # elsewhere while the worker carries the order out late.
+def test_start_outcomes_are_distinguished():
+    # Guards against treating a lost response as a refusal: the task would start on
+    # another worker while this worker carries the order out late.
     async def run():
         for error, outcome in (
             (None, StartOutcome.STARTED),
             (WorkerUnresponsiveError("lost"), StartOutcome.UNKNOWN),
             (WorkerUnreachableError("none"), StartOutcome.REFUSED),
         ):
-            async with linked() as (link, port, scheduler):
+            async with link_to_worker() as (link, port, scheduler):
                 port.error = error
-                answer = await answer_to_start(link, scheduler)
+                answer = await result_of_start(link, scheduler)
                 assert answer.outcome is outcome
 
     asyncio.run(run())
 
 
 def test_leader_without_confirmation_starts_nothing():
-    # Guards against a former leader that goes on starting tasks.
+    # Guards against a former leader that continues to start tasks.
     async def run():
-        async with linked(granted=False) as (link, port, scheduler):
-            answer = await answer_to_start(link, scheduler)
+        async with link_to_worker(granted=False) as (link, port, scheduler):
+            answer = await result_of_start(link, scheduler)
             assert answer.outcome is StartOutcome.REFUSED
             assert not any(call[0] == "start" for call in port.calls)
 
     asyncio.run(run())
 
 
-def test_lease_of_a_silent_worker_is_not_extended():
-    # Guards against a late order that keeps runs alive which count as lost.
+def test_lease_of_an_unresponsive_worker_is_not_extended():
+    # Guards against an order that is carried out late and keeps runs alive that count
+    # as lost.
     async def run():
-        async with linked() as (_, port, scheduler):
+        async with link_to_worker() as (_, port, scheduler):
             port.error = WorkerUnresponsiveError("lost")
             await asyncio.sleep(0.05)
             port.calls.clear()
             async with asyncio.timeout(5):
-                while not any(m.expired for m in scheduler.of(WorkerUnresponsive)):
+                while not any(
+                    m.expired for m in scheduler.received_of(WorkerUnresponsive)
+                ):
                     await asyncio.sleep(0.01)
             expiries = {call[2] for call in port.calls if call[0] == "renew"}
             assert len(expiries) == 1
@@ -162,22 +165,24 @@
     asyncio.run(run())
 
 
-def test_another_life_at_the_address_means_that_the_worker_is_gone():
-    # Guards against waiting for leases of a worker that has surely ended.
+def test_another_incarnation_at_the_address_means_that_the_worker_has_ended():
+    # Guards against waiting for the lease expiry of a worker that has certainly ended.
     async def run():
-        async with linked() as (_, port, scheduler):
+        async with link_to_worker() as (_, port, scheduler):
             port.error = WorkerReplacedError("gone")
             async with asyncio.timeout(1):
-                while not any(m.expired for m in scheduler.of(WorkerUnresponsive)):
+                while not any(
+                    m.expired for m in scheduler.received_of(WorkerUnresponsive)
+                ):
                     await asyncio.sleep(0.01)
 
     asyncio.run(run())
 
 
-def test_ends_are_acknowledged_only_when_told():
-    # Guards against ends that are forgotten before the store has them.
+def test_ends_are_acknowledged_only_on_request():
+    # Guards against ends that the worker discards before they are stored.
     async def run():
-        async with linked() as (link, port, _):
+        async with link_to_worker() as (link, port, _):
             port.ended = (RunEnd(1, ref("a"), 1, RunEndStatus.DONE, ""),)
             await asyncio.sleep(0.3)
             assert {call[3] for call in port.calls if call[0] == "renew"} == {0}
@@ -188,11 +193,12 @@
     asyncio.run(run())
 
 
-def test_acknowledgement_of_an_earlier_life_is_ignored():
-    # Guards against ends of a worker that started again which are forgotten unseen,
-    # so that their tasks run a second time (soak seed 1 beside load).
+def test_acknowledgement_of_an_earlier_incarnation_is_ignored():
+    # Guards against a restarted worker that discards ends before the leader has seen
+    # them, so that their tasks run a second time (seen in the soak with seed 1 under
+    # load).
     async def run():
-        async with linked() as (link, port, _):
+        async with link_to_worker() as (link, port, _):
             port.ended = (RunEnd(1, ref("a"), 1, RunEndStatus.DONE, ""),)
             link.tell(AcknowledgeRunEnds(999, 30))
             await asyncio.sleep(0.3)
@@ -201,23 +207,23 @@
     asyncio.run(run())
 
 
-def test_sync_lists_under_the_higher_fence():
-    # Guards against a listing that leaves unanswered orders in force.
+def test_raised_fence_lists_under_the_higher_fence():
+    # Guards against a listing after which unanswered orders can still take effect.
     async def run():
-        async with linked() as (link, _, scheduler):
+        async with link_to_worker() as (link, _, scheduler):
             link.tell(RaiseFence(11))
             async with asyncio.timeout(1):
                 while not any(
-                    m.fence == 11 for m in scheduler.of(WorkerListingReceived)
+                    m.fence == 11 for m in scheduler.received_of(WorkerListingReceived)
                 ):
                     await asyncio.sleep(0.01)
 
     asyncio.run(run())
 
 
-def test_alert_shows_at_once_that_a_worker_is_cut_off():
-    # Guards against starts that go to the workers of a zone that is cut off until the
-    # listings on their way have run out, up to 1.9 s after the cut.
+def test_shortened_waits_show_at_once_that_a_worker_is_cut_off():
+    # Guards against starts sent to the workers of a cut-off zone until the pending
+    # listings time out, up to 1.9 s after the cut.
     class Waiting(Port):
         async def renew(self, fence, expires_clock_ms, acknowledged, wait_ms):
             if wait_ms:
@@ -227,7 +233,9 @@
 
     async def run():
         port, scheduler, clock = Waiting(), Scheduler(), SystemClock()
-        link = StepWorkerLink(worker("w"), port, scheduler, clock, HOLD_MS, 10, 0)
+        link = StepWorkerLink(
+            worker("w"), port, scheduler, clock, WORKER_LEASE_MS, 10, 0
+        )
         async with contextlib.AsyncExitStack() as stack:
             for actor in (scheduler, link):
                 await actor.start()
@@ -239,6 +247,6 @@
             for ahead_ms in (1_000, 2_000):
                 link.tell(ShortenListingWaits(clock.now_ms() + ahead_ms))
                 await asyncio.sleep(0.05)
-            assert len(scheduler.of(WorkerCallUnanswered)) == 1
+            assert len(scheduler.received_of(WorkerCallUnanswered)) == 1
 
     asyncio.run(run())
--- a/tests/test_storerouter.py
+++ b/tests/test_storerouter.py
@@ -1,4 +1,4 @@
-"""The way to the store, direct or through another instance."""
+"""Tests of the routing of store requests, direct or through another instance."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 
 class Relays(Actor):
-    """Other instances, which reach the store or fail with an error."""
+    """Other instances that relay requests to a store, or fail with an error."""
 
     def __init__(self, store, error_by_id):
         super().__init__()
         self.store = store
         self.error_by_id = error_by_id
         self.asked = []
-        self.answer_later = None
+        self.pending_reply = None
 
     @handles(CallPeer)
     async def _call(self, message: CallPeer) -> object:
         self.asked.append(message.instance_id)
-        if self.answer_later is not None:
-            return self.answer_later
+        if self.pending_reply is not None:
+            return self.pending_reply
         error = self.error_by_id.get(message.instance_id)
         if error is not None:
             raise error
@@ -61,8 +61,8 @@
         yield router, link, relays
 
 
-def test_direct_way_is_used_while_it_works():
-    # Guards against needless hops.
+def test_direct_path_is_used_while_it_works():
+    # Guards against needless relaying.
     async def run():
         async with router_to("ok") as (router, link, relays):
             await router.ask(WRITE)
@@ -72,8 +72,8 @@
     asyncio.run(run())
 
 
-def test_relay_that_works_is_kept():
-    # Guards against going round relays that are cut off, 1.5 s for each write.
+def test_relay_that_works_is_reused():
+    # Guards against trying cut-off relays again for each write, which takes 1.5 s.
     async def run():
         gone = OwnerUnreachableError("gone")
         async with router_to("down", b=gone) as (router, _, relays):
@@ -86,7 +86,7 @@
 
 
 def test_check_that_failed_is_not_sent_to_another_relay():
-    # Guards against taking an answer of the store for a failure of the way.
+    # Guards against treating a response of the store as a failure of the path.
     async def run():
         error = RowCheckFailedError("changed")
         async with router_to("down", b=error) as (router, _, relays):
@@ -97,8 +97,8 @@
     asyncio.run(run())
 
 
-def test_write_that_a_relay_may_have_made_is_unknown():
-    # Guards against a write that is reported as not made and takes effect.
+def test_outcome_of_write_that_a_relay_may_have_made_is_unknown():
+    # Guards against a write that is reported as not made but takes effect.
     async def run():
         async with router_to("down", b=OutcomeUnknownError("cut")) as (router, _, _):
             with pytest.raises(WriteOutcomeUnknownError):
@@ -107,8 +107,8 @@
     asyncio.run(run())
 
 
-def test_direct_way_is_taken_again_once_it_works():
-    # Guards against relaying for ever after a short failure.
+def test_direct_path_is_used_again_once_it_works():
+    # Guards against relaying for ever after a short failure of the direct path.
     async def run():
         async with router_to("down") as (router, link, relays):
             await router.ask(WRITE)
@@ -121,8 +121,8 @@
     asyncio.run(run())
 
 
-def test_store_that_nobody_reaches_is_unavailable():
-    # Guards against a caller that hangs while the store is away.
+def test_store_that_no_instance_reaches_is_unavailable():
+    # Guards against a caller that hangs while the store is unreachable.
     async def run():
         errors = {n: TableUnavailableError("down") for n in ("b", "c", "d")}
         async with router_to("down", **errors) as (router, _, _):
@@ -132,9 +132,10 @@
     asyncio.run(run())
 
 
-def test_write_lost_in_a_silent_store_is_given_up_once_it_answers_again():
-    # Guards against a leader that waits for a lost answer while the store is back:
-    # callers used up their returns in that half second (grown kbwb-arrears trouble-1).
+def test_write_lost_in_an_unresponsive_store_is_abandoned_once_it_responds():
+    # Guards against a leader that waits for a lost response although the store responds
+    # again: clients used up their retries in that half second (seen in grown
+    # kbwb-arrears trouble-1).
     async def run():
         errors = {n: OutcomeUnknownError("silent") for n in ("b", "c", "d")}
         async with router_to("hang", **errors) as (router, link, _):
@@ -153,12 +154,12 @@
     asyncio.run(run())
 
 
-def test_relay_is_not_waited_for_once_the_store_answers_again():
-    # Guards against a write that waits for a relay which asked a silent store.
+def test_relay_is_not_waited_for_once_the_store_responds_again():
+    # Guards against a write that waits for a relay whose store is unresponsive.
     async def run():
         async with router_to("down") as (router, link, relays):
-            silent = asyncio.get_running_loop().create_future()
-            relays.answer_later = silent
+            unresolved = asyncio.get_running_loop().create_future()
+            relays.pending_reply = unresolved
             write = asyncio.ensure_future(router.ask(WRITE))
             await asyncio.sleep(0.1)
             link.mode = "ok"
@@ -166,20 +167,20 @@
                 await write
             await router.ask(WRITE)
             assert ROW in link.rows
-            silent.cancel()
+            unresolved.cancel()
 
     asyncio.run(run())
 
 
-def test_slow_write_is_not_given_up_while_reads_are_slow_too():
+def test_slow_write_is_not_abandoned_while_reads_are_slow_too():
     # Guards against sending a slow store the same write again and again.
     class SlowStore(MemoryRowStore):
         def handle_slowly(self, seconds, message):
-            async def work():
+            async def apply_later():
                 await asyncio.sleep(seconds)
                 return self.apply(message)
 
-            return self.spawn(work())
+            return self.spawn(apply_later())
 
         @handles(CommitRows)
         async def _commit(self, message: CommitRows) -> object:
@@ -203,10 +204,10 @@
     asyncio.run(run())
 
 
-def test_silent_store_is_tried_again_without_a_gap():
-    # Guards against a return that is noticed late because all probes still wait for
-    # what the silent store will never answer (kbwb-arrears trouble-3: 0.23 s after the
-    # return, in which six callers were refused for the last time).
+def test_unresponsive_store_is_probed_without_a_gap():
+    # Guards against a late detection that the store responds again, because all probes
+    # still wait for responses that never come (seen in kbwb-arrears trouble-3: 0.23 s
+    # late, during which the last retries of six clients were refused).
     class UnresponsiveStore(MemoryRowStore):
         def __init__(self):
             super().__init__()
@@ -214,7 +215,7 @@
 
         async def time_out(self, timeout_ms):
             await asyncio.sleep(timeout_ms / 1000)
-            raise TableUnavailableError("no answer in time")
+            raise TableUnavailableError("no response in time")
 
         @handles(CommitRows)
         async def _commit(self, message: CommitRows) -> object:
@@ -237,7 +238,7 @@
             write.cancel()
             gaps_s = [b - a for a, b in itertools.pairwise(link.read_s)]
             assert max(gaps_s) < 0.2
-            # Each connection that a probe holds is missing to the calls that count.
+            # Connections that probes hold are not available to other requests.
             assert len(link.read_s) <= 2.5 / 0.08
 
     asyncio.run(run())
