--- a/marjoramgrade/controllers/outboxes.py
+++ b/marjoramgrade/controllers/outboxes.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard has decided and not yet sent to its workers."""
+"""Messages that the owner of a shard has not yet sent to its workers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 
 @attrs.define
 class _Outbox:
-    """What the next batch to one worker will carry."""
+    """Content of the next batch to one worker.
+
+    Attributes:
+        starts: Tasks to start.
+        stops: Tasks to stop.
+        acks: Tasks whose reported end is acknowledged.
+    """
 
     starts: list[TaskStart] = attrs.field(factory=list)
     stops: list[TaskId] = attrs.field(factory=list)
@@ -19,26 +25,26 @@
 
 
 class Outboxes:
-    """Starts, stops and acknowledgements by worker."""
+    """Unsent starts, stops and acknowledgements by worker."""
 
     def __init__(self) -> None:
         self._outbox_by_worker: dict[str, _Outbox] = {}
 
     def start(self, worker_id: str, start: TaskStart) -> None:
         """Add a task to start."""
-        self._find(worker_id).starts.append(start)
+        self._outbox_of(worker_id).starts.append(start)
 
     def stop(self, worker_id: str, task: TaskId) -> None:
         """Add a task to stop."""
-        self._find(worker_id).stops.append(task)
+        self._outbox_of(worker_id).stops.append(task)
 
     def acknowledge(self, worker_id: str, task: TaskId) -> None:
-        """Add an end that the worker may forget."""
-        self._find(worker_id).acks.append(task)
+        """Add a task whose end the worker may discard."""
+        self._outbox_of(worker_id).acks.append(task)
 
     def discard_unsent_starts(self, worker_id: str) -> None:
-        """Drop the starts that were not sent before the connection broke."""
-        self._find(worker_id).starts.clear()
+        """Discard the starts that were not sent before the connection broke."""
+        self._outbox_of(worker_id).starts.clear()
 
     def pop_batches(
         self, epoch: int, sessions: WorkerSessions
@@ -54,5 +60,5 @@
             )
         return batch_by_worker
 
-    def _find(self, worker_id: str) -> _Outbox:
+    def _outbox_of(self, worker_id: str) -> _Outbox:
         return self._outbox_by_worker.setdefault(worker_id, _Outbox())
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -1,4 +1,4 @@
-"""The tasks of one shard: its queue, its workers and their ends."""
+"""Controller of one shard that runs the shard's tasks on its workers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class ShardLoaded(Message[None]):
-    """The rows that a new owner needs have been read."""
+    """The rows that a new owner of the shard needs have been read."""
 
     epoch: int
     roster: StoredRoster
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class RosterWritten(Message[None]):
-    """The roster in the table names these workers."""
+    """The roster row has this content and version after a write or a read."""
 
     epoch: int
     roster: StoredRoster
@@ -78,8 +78,8 @@
         make_link: Makes the actor that owns the connection to a worker.
         clock: Monotonic time.
         metrics: Counters.
-        routes: Is told the load and chooses other shards for jobs that move.
-        jobs: Is told of job rows that this controller wrote.
+        routes: Receives the shard's load and chooses the target shard of a move.
+        jobs: Returns the actor that is told of job rows written here.
     """
 
     def __init__(
@@ -108,31 +108,31 @@
         self._routes = routes
         self._writer = JobWriter(shard, store, record_writer, routes, jobs, metrics)
         self._epoch = 0
-        self._until_ms = 0
+        self._owned_until_ms = 0
         self._fence = ShardFence(shard, 0)
         self._config = Config()
-        self._fresh_until_ms = 0
+        self._config_fresh_until_ms = 0
         self._worker_by_id: dict[str, Instance] = {}
         self._link_by_id: dict[str, Actor] = {}
         self._state: ShardTasks | None = None
         self._drain: ZoneDrain | None = None
-        self._early_jobs: list[StoredJob] = []
+        self._changed_during_load: list[StoredJob] = []
 
     async def on_start(self) -> None:
-        """Begin to decide at every tick."""
+        """Start the scheduling loop."""
         self.spawn_critical(self._tick_forever())
 
     async def on_stop(self) -> None:
         """Close the connections to the workers."""
         await self._close_links()
 
-    # Who owns the shard, and what is in it
+    # Ownership, configuration and content of the shard
 
     @handles(OwnershipChanged)
     async def _ownership_changed(self, message: OwnershipChanged) -> None:
         if message.shard != self._shard:
             return
-        self._until_ms = message.until_ms
+        self._owned_until_ms = message.until_ms
         if message.until_ms == 0:
             self._state = None
             self.spawn(self._close_links())
@@ -140,13 +140,13 @@
             self._epoch = message.epoch
             self._fence = ShardFence(self._shard, message.fence_version)
             self._state = None
-            self._early_jobs.clear()
+            self._changed_during_load.clear()
             self.spawn(self._load(message.epoch))
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
         self._config = message.config
-        self._fresh_until_ms = message.fresh_until_ms
+        self._config_fresh_until_ms = message.fresh_until_ms
         if self._state is not None:
             self._state.set_config(message.config)
 
@@ -176,9 +176,9 @@
         )
         self._drain = ZoneDrain(self._state)
         self._state.set_config(self._config)
-        for stored in self._early_jobs:
+        for stored in self._changed_during_load:
             self._state.apply_job(stored, self._clock.now_ms())
-        self._early_jobs.clear()
+        self._changed_during_load.clear()
         log_event("shard_loaded", shard=self._shard, jobs=len(message.jobs))
         await self._sync_workers(self._state)
 
@@ -190,8 +190,10 @@
     @handles(JobsChanged)
     async def _jobs_changed(self, message: JobsChanged) -> None:
         if self._state is None:
-            # Rows that change while the shard is loading would be missed.
-            self._early_jobs.extend(s for s in message.jobs if self._is_home_of(s))
+            # The load may miss rows that change while it is in progress.
+            self._changed_during_load.extend(
+                s for s in message.jobs if self._is_home_of(s)
+            )
             return
         for stored in message.jobs:
             self._state.apply_job(stored, self._clock.now_ms())
@@ -202,7 +204,7 @@
             raise NotOwnerError(f"{self._instance_id} does not own {self._shard}")
         return self._state.tasks_of(message.job_id)
 
-    # What workers say
+    # Messages from workers
 
     @handles(WorkerConnected)
     async def _worker_connected(self, message: WorkerConnected) -> None:
@@ -219,7 +221,7 @@
 
     @handles(WorkerHeartbeat)
     async def _worker_heartbeat(self, message: WorkerHeartbeat) -> None:
-        """Extend a worker's lease, but only with authority over the shard."""
+        """Extend a worker's lease while this instance has authority over the shard."""
         state = self._state
         if state is None or not state.sessions.is_connected(message.worker_id):
             return
@@ -237,29 +239,33 @@
         self._send(message.worker_id, grant)
 
     @handles(TasksEnded)
-    async def _worker_ends(self, message: TasksEnded) -> None:
+    async def _tasks_ended(self, message: TasksEnded) -> None:
         if self._state is None:
             return
         for end in message.ends:
             self._state.task_ended(message.worker_id, end, self._clock.now_ms())
 
     @handles(TasksRefused)
-    async def _worker_refused(self, message: TasksRefused) -> None:
+    async def _tasks_refused(self, message: TasksRefused) -> None:
         self._metrics.retried(f"worker_refused_{message.reason}")
         if self._state is not None:
             self._state.requeue_refused_tasks(message, self._clock.now_ms())
 
-    # Acting
+    # Scheduling, writes and connections
 
     def _is_home_of(self, stored: StoredJob) -> bool:
-        return self._until_ms > 0 and stored.job.shard == self._shard
+        return self._owned_until_ms > 0 and stored.job.shard == self._shard
 
     def _is_owner(self) -> bool:
-        return self._clock.now_ms() < self._until_ms
+        return self._clock.now_ms() < self._owned_until_ms
 
     def _may_start(self) -> bool:
-        """Return whether tasks may start: the zone is in and that is known."""
-        is_fresh = self._clock.now_ms() < self._fresh_until_ms
+        """Return whether tasks may start.
+
+        This instance must own the shard, and a configuration that is known to be
+        current must show the zone as in.
+        """
+        is_fresh = self._clock.now_ms() < self._config_fresh_until_ms
         zone = self._shard.rpartition(".")[0]
         return self._is_owner() and is_fresh and self._config.is_zone_in(zone)
 
@@ -290,11 +296,14 @@
                 self._publish(state)
             if now_ms >= next_roster_ms:
                 next_roster_ms = now_ms + ROSTER_INTERVAL_MS
-                self._keep_roster(state)
+                self._update_roster(state)
                 self._move_jobs(now_ms)
 
     def _send_batches(self, state: ShardTasks) -> None:
-        """Send what the state decided; the authority is checked just before."""
+        """Send pending starts, stops and acknowledgements to connected workers.
+
+        The authority over the shard is checked immediately before.
+        """
         if not self._is_owner():
             return
         batches = state.outboxes.pop_batches(self._epoch, state.sessions)
@@ -312,7 +321,7 @@
                 self.spawn(self._writer.write(state, stored))
 
     def _move_jobs(self, now_ms: int) -> None:
-        """While the zone is out, home its jobs in shards of other zones."""
+        """Move jobs to shards of other zones while this zone is out."""
         drain = self._drain
         if drain is None:
             return
@@ -331,26 +340,26 @@
         finally:
             drain.record_move_end(stored.job.job_id, self._clock.now_ms())
 
-    def _keep_roster(self, state: ShardTasks) -> None:
-        wanted = state.wanted_roster(self._worker_by_id)
-        if wanted != state.roster.worker_ids:
-            self.spawn(self._write_roster(state.roster, wanted, self._epoch))
+    def _update_roster(self, state: ShardTasks) -> None:
+        worker_ids = state.wanted_roster(self._worker_by_id)
+        if worker_ids != state.roster.worker_ids:
+            self.spawn(self._write_roster(state.roster, worker_ids, self._epoch))
 
     async def _write_roster(
-        self, roster: StoredRoster, wanted: frozenset[str], epoch: int
+        self, roster: StoredRoster, worker_ids: frozenset[str], epoch: int
     ) -> None:
         try:
             version = await self._store.write_roster(
-                self._shard, wanted, roster.version
+                self._shard, worker_ids, roster.version
             )
         except CheckFailedError:
-            # A previous owner wrote it between the load and this write.
+            # A previous owner wrote the roster between the load and this write.
             self._metrics.retried("roster_conflict")
             await self._reload_roster(epoch)
         except MarjoramgradeError:
             self._metrics.retried("roster_table_error")
         else:
-            self.tell(RosterWritten(epoch, StoredRoster(wanted, version)))
+            self.tell(RosterWritten(epoch, StoredRoster(worker_ids, version)))
 
     async def _reload_roster(self, epoch: int) -> None:
         try:
@@ -367,12 +376,12 @@
                 self._metrics.retried("shard_load_table_error")
                 await asyncio.sleep(LOAD_RETRY_MS / 1000)
                 continue
-            own = tuple(s for s in jobs.jobs if s.job.shard == self._shard)
-            self.tell(ShardLoaded(epoch, roster, own))
+            own_jobs = tuple(s for s in jobs.jobs if s.job.shard == self._shard)
+            self.tell(ShardLoaded(epoch, roster, own_jobs))
             return
 
     async def _sync_workers(self, state: ShardTasks) -> None:
-        """Connect to every listed worker and drain those that leave."""
+        """Connect to every listed worker; drain workers that leave or are unlisted."""
         now_ms = self._clock.now_ms()
         for worker_id, worker in self._worker_by_id.items():
             if worker.leaving:
@@ -382,8 +391,8 @@
                 link.on_fatal = self.on_fatal
                 self._link_by_id[worker_id] = link
                 await link.start()
-        for gone in set(self._link_by_id) - set(self._worker_by_id):
-            state.drain_worker(gone, now_ms)
+        for unlisted_id in set(self._link_by_id) - set(self._worker_by_id):
+            state.drain_worker(unlisted_id, now_ms)
 
     async def _close_links(self) -> None:
         links, self._link_by_id = self._link_by_id, {}
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -62,14 +62,15 @@
     Attributes:
         shard: Name of the shard.
         fence: Makes writes to the table fail after the next takeover.
-        scheduler: Decides what starts and stops.
-        grants: What each team may use here under its upper limit.
-        reconciliation: Which workers of the previous owner are accounted for.
+        scheduler: Decides which tasks start and stop.
+        grants: The part of each team's upper limit that is granted to this shard.
+        reconciliation: Tracks which workers of the previous owner have sent their
+            inventory or have no lease any more.
         roster: The workers that the table lists for this shard.
-        job_by_id: Jobs that are homed in this shard and not ended.
+        job_by_id: Open jobs whose home is this shard.
         sessions: Connections and leases of the workers.
-        outcomes: Ends on their way to the table.
-        outboxes: Messages on their way to the workers.
+        outcomes: Outcomes of tasks that are not yet written to the table.
+        outboxes: Messages that are not yet sent to the workers.
     """
 
     shard: str
@@ -123,12 +124,12 @@
     # Jobs
 
     def set_config(self, config: Config) -> None:
-        """Take over shares, queue bounds and limits."""
+        """Apply the shares, queue bounds and limits of a configuration."""
         self.scheduler.set_teams(config.teams_by_name.values())
         self.grants.set_config(config)
 
     def usage_by_team(self) -> dict[str, Resources]:
-        """Return what each team with running tasks uses."""
+        """Return the resources in use by each team with running tasks."""
         shares = self.scheduler.shares
         return {team: shares.usage_of(team) for team in self.scheduler.running.teams()}
 
@@ -140,7 +141,7 @@
                 self.scheduler.stop(task, ABOVE_LIMIT_REASON, is_requeued=True)
 
     def apply_job(self, stored: StoredJob, now_ms: int) -> None:
-        """Take over a newer version of a job row."""
+        """Apply a job row unless the same or a newer version is known."""
         job = stored.job
         known = self.job_by_id.get(job.job_id)
         if known and known.version >= stored.version:
@@ -150,7 +151,7 @@
                 self.remove_moved_job(stored)
             return
         if job.state is not JobState.OPEN:
-            self._forget(job)
+            self._discard_job(job)
             return
         self.job_by_id[job.job_id] = stored
         if known is None and not job.cancelled:
@@ -160,11 +161,11 @@
             self._cancel(job)
 
     def record_job_write(self, stored: StoredJob) -> None:
-        """Note the version that an own write gave a job."""
+        """Apply a job row that the owner of this shard has written."""
         if stored.job.state is JobState.OPEN:
             self.job_by_id[stored.job.job_id] = stored
         else:
-            self._forget(stored.job)
+            self._discard_job(stored.job)
 
     def tasks_of(self, job_id: str) -> tuple[TaskStatus, ...]:
         """Return the state of every task of a job that is homed here."""
@@ -179,16 +180,16 @@
     def _status_of(self, task: TaskId, outcome: str) -> TaskStatus:
         if outcome != Outcome.OPEN.value:
             return TaskStatus.from_outcome(task, Outcome(outcome), "ended")
-        noted = self.outcomes.outcome_of(task)
-        if noted is not None:
-            return TaskStatus.from_outcome(task, noted, "ended: not recorded yet")
+        pending = self.outcomes.outcome_of(task)
+        if pending is not None:
+            return TaskStatus.from_outcome(task, pending, "ended: not recorded yet")
         reason = self.scheduler.reason_of(task)
         worker_id = self._worker_of(task)
         state = "running" if worker_id else "queued"
         return TaskStatus(task, state, reason, worker_id)
 
     def _cancel(self, job: Job) -> None:
-        """Cancel the tasks of a job: queued ones end now, running ones later."""
+        """Cancel a job: queued tasks end now, running ones when workers report it."""
         self.scheduler.cancel_job(job.job_id)
         for index, outcome in enumerate(job.outcomes):
             task = TaskId(job.job_id, index)
@@ -196,16 +197,16 @@
             if is_open and not self._worker_of(task):
                 self.outcomes.record(task, Outcome.CANCELLED)
 
-    def _forget(self, job: Job) -> None:
+    def _discard_job(self, job: Job) -> None:
         self.job_by_id.pop(job.job_id, None)
         self.outcomes.discard_job(job)
         for index in range(job.spec.tasks):
             self._attempt_by_task.pop(TaskId(job.job_id, index), None)
 
     def remove_moved_job(self, stored: StoredJob) -> None:
-        """Drop a job that another shard now owns."""
+        """Remove a job whose home is now another shard."""
         self.scheduler.cancel_job(stored.job.job_id)
-        self._forget(stored.job)
+        self._discard_job(stored.job)
 
     # Workers
 
@@ -226,14 +227,15 @@
     def reconcile_worker(
         self, message: WorkerConnected, worker: Instance, now_ms: int
     ) -> None:
-        """Compare a worker's inventory with what should run there."""
+        """Reconcile a worker's inventory with the tasks that should run there."""
         worker_id = message.worker_id
         self.sessions.mark_connected(worker_id, now_ms)
         self.add_listed_worker(worker, now_ms)
         for end in message.ends:
             self.task_ended(worker_id, end, now_ms)
-        # What was decided while there was no connection is decided again; sent
-        # now, it would run beside the task that is queued again below.
+        # Starts decided while the worker was disconnected are scheduled anew: their
+        # tasks are requeued below, so that sending the old starts as well could run
+        # a task twice.
         self.outboxes.discard_unsent_starts(worker_id)
         reported = {run.task for run in message.running}
         for running in self.scheduler.running.tasks_of_worker(worker_id):
@@ -245,7 +247,7 @@
         self.reconciliation.confirm(worker_id)
 
     def add_listed_worker(self, worker: Instance, now_ms: int) -> None:
-        """Take a connected worker into the pool if it is on the roster."""
+        """Add a connected worker to the pool if it is on the roster."""
         worker_id = worker.instance_id
         if worker_id not in self.roster.worker_ids:
             return
@@ -256,7 +258,7 @@
             self.scheduler.drain_worker(worker_id, now_ms)
 
     def drain_worker(self, worker_id: str, now_ms: int) -> None:
-        """Start nothing more on a worker."""
+        """Stop placing tasks on a worker."""
         if worker_id in self.scheduler.pool:
             self.scheduler.drain_worker(worker_id, now_ms)
 
@@ -268,12 +270,12 @@
                 self.scheduler.worker_lost(worker_id, now_ms)
 
     def _adopt(self, worker_id: str, run: TaskRun, now_ms: int) -> None:
-        """Take over a reported task, or stop it if it should not run there."""
+        """Adopt a reported task, or stop it if it should not run on this worker."""
         stored = self.job_by_id.get(run.task.job_id)
-        place = self._worker_of(run.task)
-        if place == worker_id:
+        current_worker_id = self._worker_of(run.task)
+        if current_worker_id == worker_id:
             return
-        if stored is None or place or not _is_open(stored.job, run.task):
+        if stored is None or current_worker_id or not _is_open(stored.job, run.task):
             self.outboxes.stop(worker_id, run.task)
             return
         self._attempt_by_task[run.task] = run.attempt
@@ -286,7 +288,7 @@
     # Tasks
 
     def start_tasks(self, now_ms: int) -> None:
-        """Decide what starts and stops, once every earlier start is accounted for."""
+        """Decide which tasks start and stop, once all earlier starts are reconciled."""
         if not self.reconciliation.is_complete(now_ms):
             return
         for decision in self.scheduler.step(now_ms, MAX_STARTS_PER_TICK):
@@ -296,47 +298,47 @@
                 self.outboxes.stop(decision.worker_id, decision.task)
 
     def forward_stops(self) -> None:
-        """Send the stops that are due; a stop needs no authority to start."""
+        """Add pending stops to the outboxes, even while no tasks may start."""
         for stop in self.scheduler.pop_stops():
             self.outboxes.stop(stop.worker_id, stop.task)
 
     def task_ended(self, worker_id: str, end: TaskEnd, now_ms: int) -> None:
-        """Take note of an end that a worker reports, perhaps again."""
+        """Apply a task's end; a worker may report the same end more than once."""
         stored = self.job_by_id.get(end.task.job_id)
         if stored is None or not _is_open(stored.job, end.task):
-            # The row shows the end already, or the job was moved after its end.
+            # The row already has the outcome, or the job was moved after the end.
             self.outboxes.acknowledge(worker_id, end.task)
             return
-        ending = END_STATUS_BY_OUTCOME.get(end.outcome, EndStatus.FAILED)
-        if ending is EndStatus.DONE:
+        status = END_STATUS_BY_OUTCOME.get(end.outcome, EndStatus.FAILED)
+        if status is EndStatus.DONE:
             self.outcomes.record(end.task, Outcome.DONE, worker_id)
-            self._stop_elsewhere(end.task, worker_id)
+            self._cancel_elsewhere(end.task, worker_id)
         elif stored.job.cancelled:
             self.outcomes.record(end.task, Outcome.CANCELLED, worker_id)
         else:
             self.outboxes.acknowledge(worker_id, end.task)
         if self._worker_of(end.task) == worker_id:
-            self._end(end.task, ending, now_ms)
+            self._end(end.task, status, now_ms)
 
     def requeue_refused_tasks(self, message: TasksRefused, now_ms: int) -> None:
-        """Queue tasks again that a worker did not start."""
+        """Requeue tasks that a worker refused to start."""
         for task in message.tasks:
             if self._worker_of(task) == message.worker_id:
                 self._end(task, EndStatus.REFUSED, now_ms)
 
     def total_resources(self) -> Resources:
-        """Return what the workers offer."""
+        """Return the total capacity of the workers."""
         return self.scheduler.pool.total_capacity
 
     def free_resources(self) -> Resources:
-        """Return what is not reserved on any worker."""
+        """Return the unreserved capacity of the workers that accept new tasks."""
         total = ZERO_RESOURCES
         for _, free in self.scheduler.pool.iter_schedulable():
             total = total + free
         return total
 
     def queued(self) -> int:
-        """Return the number of tasks that wait."""
+        """Return the number of tasks that wait to be started."""
         return self.scheduler.queued_count
 
     def _worker_of(self, task: TaskId) -> str:
@@ -344,29 +346,32 @@
         running = self.scheduler.running.find(task)
         return running.worker_id if running is not None else ""
 
-    def _stop_elsewhere(self, task: TaskId, worker_id: str) -> None:
-        """Stop or unqueue a task that a late report shows as done."""
-        place = self._worker_of(task)
-        if place != worker_id:
+    def _cancel_elsewhere(self, task: TaskId, worker_id: str) -> None:
+        """Cancel a done task that is queued or runs on another worker.
+
+        The report of its completion may arrive after the task was requeued.
+        """
+        current_worker_id = self._worker_of(task)
+        if current_worker_id != worker_id:
             self.scheduler.cancel(task)
 
-    def _end(self, task: TaskId, ending: EndStatus, now_ms: int) -> None:
+    def _end(self, task: TaskId, status: EndStatus, now_ms: int) -> None:
         stored = self.job_by_id.get(task.job_id)
-        again = self.scheduler.task_ended(task, ending, now_ms)
+        entry = self.scheduler.task_ended(task, status, now_ms)
         if stored is None or stored.job.cancelled:
-            if stored is not None and ending is not EndStatus.DONE:
+            if stored is not None and status is not EndStatus.DONE:
                 self.outcomes.record(task, Outcome.CANCELLED)
             return
-        if again is None:
+        if entry is None:
             return
         spec = stored.job.spec
-        delay_ms = self._retry_by_kind[spec.kind].delay_ms(again.attempts)
-        if delay_ms is None or _is_exhausted(spec, again):
-            for failed in again.iter_tasks():
+        delay_ms = self._retry_by_kind[spec.kind].delay_ms(entry.attempts)
+        if delay_ms is None or _is_exhausted(spec, entry):
+            for failed in entry.iter_tasks():
                 self.outcomes.record(failed, Outcome.FAILED)
             return
         self.scheduler.submit(
-            attrs.evolve(again, not_before_ms=now_ms + delay_ms), now_ms
+            attrs.evolve(entry, not_before_ms=now_ms + delay_ms), now_ms
         )
 
     def _start_of(self, decision: StartTask) -> TaskStart:
@@ -378,7 +383,7 @@
 
 
 def _is_exhausted(spec: JobSpec, entry: QueuedTask) -> bool:
-    """Return whether failed work is given up; a service runs until cancelled."""
+    """Return whether no attempts are left; a service restarts until cancelled."""
     if spec.kind is JobKind.SERVICE:
         return False
     attempts = TaskAttempts(entry.attempts)
--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -1,4 +1,4 @@
-"""Moving the jobs of a shard away while its zone is out."""
+"""Moves the jobs of a shard to other shards while its zone is out."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from marjoramgrade.messages.jobs import StoredJob
 from marjoramgrade.model import JobKind
 
-# Batch tasks may end by themselves this long after their zone was taken out.
+# Batch tasks may run to completion within this time after their zone was taken out.
 DRAIN_GRACE_MS = 10_000
 MAX_CONCURRENT_MOVES = 100
 ZONE_OUT_REASON = "zone taken out"
@@ -24,24 +24,24 @@
     """
 
     tasks: ShardTasks
-    _since_ms: int | None = None
+    _out_since_ms: int | None = None
     _moving: set[str] = attrs.field(factory=set)
 
     def stop_due_tasks(self, now_ms: int) -> None:
         """Stop services at once and batch tasks after a grace period."""
-        if self._since_ms is None:
-            self._since_ms = now_ms
-        is_over = now_ms >= self._since_ms + DRAIN_GRACE_MS
+        if self._out_since_ms is None:
+            self._out_since_ms = now_ms
+        is_grace_over = now_ms >= self._out_since_ms + DRAIN_GRACE_MS
         for job_id, stored in self.tasks.job_by_id.items():
-            if stored.job.spec.kind is JobKind.SERVICE or is_over:
+            if stored.job.spec.kind is JobKind.SERVICE or is_grace_over:
                 self._stop_job(job_id)
 
     def end(self) -> None:
-        """Take note that the zone is in."""
-        self._since_ms = None
+        """End the drain, since the zone is in; a later one has a new grace period."""
+        self._out_since_ms = None
 
     def begin_moves(self, now_ms: int) -> list[StoredJob]:
-        """Return jobs of which nothing runs, and note that they are moving."""
+        """Mark jobs without running tasks as moving and return them."""
         movable: list[StoredJob] = []
         if not self.tasks.reconciliation.is_complete(now_ms):
             return movable
@@ -55,7 +55,7 @@
         return movable
 
     def record_move_end(self, job_id: str, now_ms: int) -> None:
-        """Note that an attempt to move a job is over; queue it if it stays."""
+        """Record the end of a move attempt; requeue the job's tasks if it stays."""
         self._moving.discard(job_id)
         stored = self.tasks.job_by_id.get(job_id)
         if stored is None or stored.job.cancelled:
