--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -1,4 +1,4 @@
-"""Requests to the backend servers of one shard."""
+"""Controller that dispatches requests to the backend servers of one shard."""
 
 from __future__ import annotations
 
@@ -47,16 +47,16 @@
 
 
 class Backends(Protocol):
-    """How requests reach backend servers."""
+    """Connections to the backend servers."""
 
     async def run(
         self, backend: Instance, epoch: int, request: RunRequest, timeout_ms: int
     ) -> RunReply:
-        """Send a request and return the whole answer."""
+        """Send a request and return the complete response."""
         ...
 
     async def fence(self, backend: Instance, epoch: int) -> BackendFenceReply:
-        """Raise the server's epoch and return the slots in use."""
+        """Raise the epoch that the server enforces and return its slots in use."""
         ...
 
 
@@ -76,13 +76,13 @@
         shard: Name of the shard.
         instance_id: This instance.
         is_member: Whether an instance of the platform's list is in the shard.
-        backends: Reaches the backend servers.
+        backends: Connections to the backend servers.
         record_writer: Records the ids of non-idempotent requests.
         store: Typed access to the table.
         clock: Monotonic time.
         metrics: Counters.
-        max_queued: Requests that may wait.
-        routes: Is told the load.
+        max_queued: Number of requests that may wait for each service.
+        routes: Actors that receive the shard's load.
     """
 
     def __init__(
@@ -112,19 +112,19 @@
         self._routes = tuple(routes)
         self._slots = SlotPool()
         self._running_by_team: Counter[str] = Counter()
-        self._sending: set[asyncio.Task[None]] = set()
+        self._send_tasks: set[asyncio.Task[None]] = set()
         self._is_draining = False
         self._backend_by_id: dict[str, Instance] = {}
         self._queue_by_service: dict[str, RequestQueue[_Waiting]] = {}
         self._epoch = 0
-        self._until_ms = 0
+        self._owned_until_ms = 0
         self._config = Config()
         self._grants = self._make_grants(0)
-        self._fresh_until_ms = 0
+        self._config_fresh_until_ms = 0
         self._probing: set[str] = set()
 
     async def on_start(self) -> None:
-        """Begin to probe servers and to publish the load."""
+        """Start the loop that dispatches, probes servers and publishes the load."""
         self.spawn_critical(self._tick_forever())
 
     async def on_stop(self) -> None:
@@ -142,12 +142,12 @@
             self._slots = SlotPool()
             self._grants = self._make_grants(message.epoch)
             self._sync_backends()
-        self._until_ms = message.until_ms
+        self._owned_until_ms = message.until_ms
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
         self._config = message.config
-        self._fresh_until_ms = message.fresh_until_ms
+        self._config_fresh_until_ms = message.fresh_until_ms
         self._grants.set_config(message.config)
 
     @handles(InstancesChanged)
@@ -177,12 +177,12 @@
         self._is_draining = True
         for queue in self._queue_by_service.values():
             for waiting in queue.pop_if(lambda item: True):
-                _refuse(waiting, NotOwnerError("the shard is being given up"))
-        return self.spawn(self._wait_for_sent())
+                _refuse(waiting, NotOwnerError("the shard is being released"))
+        return self.spawn(self._wait_for_send_tasks())
 
-    async def _wait_for_sent(self) -> None:
-        while self._sending:
-            await asyncio.wait(self._sending)
+    async def _wait_for_send_tasks(self) -> None:
+        while self._send_tasks:
+            await asyncio.wait(self._send_tasks)
 
     def _make_grants(self, epoch: int) -> GrantManager:
         grants = GrantManager(
@@ -192,10 +192,10 @@
         return grants
 
     def _is_owner(self) -> bool:
-        return self._clock.now_ms() < self._until_ms
+        return self._clock.now_ms() < self._owned_until_ms
 
     def _sync_backends(self) -> None:
-        """Make the slot pool agree with the platform's list."""
+        """Update the slot pool to match the platform's list."""
         for backend_id, backend in self._backend_by_id.items():
             slots = backend.capacity.slots
             self._slots.add(backend_id, backend.service, slots, CONNECTIONS_PER_BACKEND)
@@ -205,12 +205,12 @@
             self._slots.remove(backend_id)
 
     def _dispatch(self, service: str) -> None:
-        """Start waiting requests while there are free slots."""
+        """Send waiting requests while there are free slots."""
         queue = self._queue_by_service.get(service)
         while queue and self._config.is_zone_in(self._zone):
             if not self._slots.free_slots(service):
                 return
-            waiting = queue.pop(self._may_run, self._level_of)
+            waiting = queue.pop(self._may_run, self._weighted_usage_of)
             if waiting is None:
                 return
             refusal = self._refusal_of(waiting)
@@ -220,37 +220,37 @@
             backend_id = self._slots.acquire(service)
             assert backend_id is not None
             self._running_by_team[waiting.request.team] += 1
-            sending = self.spawn(self._send(waiting, backend_id))
-            self._sending.add(sending)
-            sending.add_done_callback(self._sending.discard)
+            send_task = self.spawn(self._send(waiting, backend_id))
+            self._send_tasks.add(send_task)
+            send_task.add_done_callback(self._send_tasks.discard)
 
     def _may_run(self, team: str) -> bool:
-        return self._grants.may_use(team, ONE_SLOT, self._use_of(team))
+        return self._grants.may_use(team, ONE_SLOT, self._usage_of(team))
 
-    def _use_of(self, team: str) -> Resources:
+    def _usage_of(self, team: str) -> Resources:
         """Return the slots that a team may be using.
 
-        Requests of a previous owner, and those that were given up on, may be of
-        any team, so they count for every team.
+        Requests of a previous owner and abandoned requests may belong to any team,
+        so they count against every team.
         """
         slots = self._running_by_team[team] + self._slots.untracked_total()
         return Resources(slots=slots)
 
-    def _level_of(self, team: str) -> float:
+    def _weighted_usage_of(self, team: str) -> float:
         known = self._config.teams_by_name.get(team)
         return self._running_by_team[team] / (known.share if known else 1)
 
     def _refusal_of(self, waiting: _Waiting) -> MarjoramgradeError | None:
-        """Return why a request may not be dispatched now or later, or None."""
+        """Return the error that rules out a dispatch now or later, or None."""
         now_ms = self._clock.now_ms()
         request = waiting.request
         if now_ms >= waiting.deadline_ms:
             return DeadlineExceededError("the deadline passed before the dispatch")
         if not self._is_owner():
-            return NotOwnerError(f"{self._instance_id} lost {self._shard}")
+            return NotOwnerError(f"{self._instance_id} no longer owns {self._shard}")
         service = self._config.services_by_name.get(request.service)
-        is_open = service is None or service.team == ""
-        if is_open and now_ms >= self._fresh_until_ms:
+        is_open_to_all = service is None or service.team == ""
+        if is_open_to_all and now_ms >= self._config_fresh_until_ms:
             return StaleAuthorityError("the configuration is not known to be current")
         key = self._config.keys_by_name.get(request.key_name)
         if key is None or key.team != request.team:
@@ -258,7 +258,7 @@
         return None
 
     async def _send(self, waiting: _Waiting, backend_id: str) -> None:
-        """Send one request; the slot is given back on every way out."""
+        """Send one request; its slot is released or abandoned in every case."""
         request = waiting.request
         epoch, slots = self._epoch, self._slots
         try:
@@ -270,7 +270,7 @@
             timeout_ms = waiting.deadline_ms - self._clock.now_ms()
             backend = self._backend_by_id.get(backend_id)
             if backend is None:
-                raise NoBackendError(f"{backend_id} has left")
+                raise NoBackendError(f"backend server {backend_id} is no longer listed")
             reply = await self._backends.run(backend, epoch, request, timeout_ms)
         except OutcomeUnknownError as error:
             now_ms = self._clock.now_ms()
@@ -319,14 +319,14 @@
                 self.spawn(self._refresh_grants())
             if self._is_owner() and now_ms >= next_probe_ms:
                 next_probe_ms = now_ms + PROBE_INTERVAL_MS
-                self._probe_due(now_ms)
+                self._start_due_probes(now_ms)
             if self._is_owner() and now_ms >= next_summary_ms:
                 next_summary_ms = now_ms + SUMMARY_INTERVAL_MS
                 self._publish()
             await asyncio.sleep(TICK_MS / 1000)
 
     def _expire(self, queue: RequestQueue[_Waiting]) -> None:
-        """Refuse waiting requests whose deadline passed, wherever they wait."""
+        """Refuse requests whose deadline passed, at any position in the queue."""
         now_ms = self._clock.now_ms()
         for waiting in queue.pop_if(lambda item: now_ms >= item.deadline_ms):
             _refuse(waiting, DeadlineExceededError("the deadline passed in the queue"))
@@ -334,11 +334,11 @@
     async def _refresh_grants(self) -> None:
         teams = self._config.teams_by_name
         await self._grants.refresh(
-            {team: self._use_of(team) for team in teams},
+            {team: self._usage_of(team) for team in teams},
             is_reconciled=self._slots.untracked_total() == 0,
         )
 
-    def _probe_due(self, now_ms: int) -> None:
+    def _start_due_probes(self, now_ms: int) -> None:
         for backend_id in self._slots.due_probes(now_ms):
             if backend_id not in self._probing:
                 self._probing.add(backend_id)
@@ -353,7 +353,7 @@
                 return
             answer = await self._backends.fence(backend, epoch)
         except NotOwnerError:
-            self._until_ms = 0
+            self._owned_until_ms = 0
         except MarjoramgradeError:
             slots.mark_failed(backend_id, self._clock.now_ms())
         else:
--- a/marjoramgrade/controllers/recordwriter.py
+++ b/marjoramgrade/controllers/recordwriter.py
@@ -1,4 +1,4 @@
-"""The journal: collects rows from many senders into few transactions."""
+"""The journal: batches the rows of many senders into few transactions."""
 
 from __future__ import annotations
 
@@ -24,13 +24,15 @@
 
 # The first record of a transaction waits this long for others.
 BATCH_WINDOW_MS = 20
-# At 22 entry instances this keeps all writes under 220 transactions a second.
+# Limits 22 entry instances together to less than 220 transactions a second.
 MIN_WRITE_INTERVAL_MS = 100
 MAX_ROWS_PER_TRANSACTION = 500
 
 
 @attrs.define
 class _Pending:
+    """A record that waits to be written and the future of its result."""
+
     record: WriteJob | RequestRecord
     done: asyncio.Future[Any]
 
@@ -76,15 +78,15 @@
         self._waiting: list[_Pending] = []
         self._has_work = asyncio.Event()
         self._writer: asyncio.Task[Any] | None = None
-        self._closing = False
+        self._is_closing = False
 
     async def on_start(self) -> None:
-        """Start the writing task."""
+        """Start the loop that writes batches."""
         self._writer = asyncio.create_task(self._write_forever())
 
     async def on_stop(self) -> None:
-        """Write what waits, then end."""
-        self._closing = True
+        """Write the waiting records, then stop."""
+        self._is_closing = True
         self._has_work.set()
         if self._writer is not None:
             await self._writer
@@ -106,19 +108,19 @@
     async def _write_forever(self) -> None:
         while True:
             await self._has_work.wait()
-            if self._closing and not self._waiting:
+            if self._is_closing and not self._waiting:
                 return
             await asyncio.sleep(BATCH_WINDOW_MS / 1000)
-            batch = self._take_batch()
+            batch = self._pop_batch()
             if batch:
                 await self._write(batch)
             if self._waiting:
                 await asyncio.sleep((MIN_WRITE_INTERVAL_MS - BATCH_WINDOW_MS) / 1000)
-            elif not self._closing:
+            elif not self._is_closing:
                 self._has_work.clear()
 
-    def _take_batch(self) -> list[_Pending]:
-        """Take the oldest records, at most one for each row."""
+    def _pop_batch(self) -> list[_Pending]:
+        """Remove and return the oldest records, at most one for each row."""
         batch: list[_Pending] = []
         later: list[_Pending] = []
         keys: set[str] = set()
@@ -160,7 +162,7 @@
         elif isinstance(pending.record, RequestRecord):
             pending.fail(
                 DuplicateRequestError(
-                    f"request {pending.record.request_id} has been taken before"
+                    f"request {pending.record.request_id} has already been recorded"
                 )
             )
         else:
