--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -57,16 +57,16 @@
 
 
 class JobsController(Actor):
-    """Owns this instance's copy of the job rows.
+    """Owns this instance's cache of the job rows.
 
     Args:
         store: Typed access to the table.
         record_writer: Writes job rows.
         shard_of: Returns the shard that a worker belongs to.
-        routes: Chooses the home shard of a new job.
+        routes: Chooses the home shard of a new job and forwards `GetTasks`.
         peers: Reaches the other entry instances.
         metrics: Counters.
-        own_shards: The shards of the own zone.
+        own_shards: The shards of this instance's zone.
         clock: Monotonic time.
         retention_ms: Time after which the row of an ended job is deleted.
         subscribers: Actors that are told `JobsChanged`.
@@ -102,9 +102,9 @@
         self._read_version = 0
 
     async def on_start(self) -> None:
-        """Begin to follow the change feed."""
-        self.spawn_critical(self._follow())
-        self.spawn_critical(self._forget_forever())
+        """Start to follow the change feed and to evict ended jobs."""
+        self.spawn_critical(self._follow_change_feed())
+        self.spawn_critical(self._evict_forever())
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
@@ -147,10 +147,10 @@
 
     @handles(JobAssigned)
     async def _assigned(self, message: JobAssigned) -> None:
-        # Others learn of the job from the change feed, which costs no read each.
+        # Other zones learn of the job from the change feed without a read per job.
         is_own_shard = message.shard in self._own_shards
         if is_own_shard and message.job_id not in self._job_by_id:
-            self.spawn(self._read_quietly(message.job_id))
+            self.spawn(self._try_read(message.job_id))
 
     @handles(JobsChanged)
     async def _changed(self, message: JobsChanged) -> None:
@@ -159,14 +159,14 @@
     async def _accept(self, message: SubmitJob) -> StoredJob:
         known = self._job_by_id.get(message.job_id)
         if known is not None:
-            return _same_or_conflict(known, message)
+            return _resolve_resubmission(known, message)
         self._check(message.spec)
         shard = await self._routes.ask(ChooseShard(message.spec))
         job = Job.from_spec(message.job_id, message.spec, shard)
         try:
             stored = await self._record_writer.ask(WriteJob(job, ABSENT))
         except CheckFailedError:
-            return _same_or_conflict(await self._read(message.job_id), message)
+            return _resolve_resubmission(await self._read(message.job_id), message)
         except TableUnavailableError as error:
             raise TableRequiredError(error.message) from error
         except WriteOutcomeUnknownError as error:
@@ -198,7 +198,7 @@
             self._apply((written,))
             return written
         raise ConflictError(
-            f"job {job_id} changes too fast to be cancelled",
+            f"job {job_id} was changed concurrently at each attempt to cancel it",
             expected_version=stored.version,
             current_version=stored.version,
         )
@@ -207,7 +207,7 @@
         known = self._job_by_id.get(job_id)
         stored = known if known is not None else await self._read(job_id)
         if stored.job.state is not JobState.OPEN:
-            # The owner of the shard keeps only open jobs.
+            # The owner of the shard holds only open jobs.
             return TaskStatus.from_ended(stored.job)
         return await self._routes.ask(GetTasks(stored.job.shard, job_id))
 
@@ -222,9 +222,9 @@
         return stored
 
     async def _read_newest(self, job_id: str) -> StoredJob:
-        """Read the row, so that no caller sees an older state than another did.
+        """Read the row, so that no client sees an older state than another did.
 
-        While the table is unreachable the copy of this instance must do.
+        While the table is unreachable, the cached row of this instance is returned.
         """
         try:
             return await self._read(job_id)
@@ -234,13 +234,13 @@
                 raise
             return known
 
-    async def _read_quietly(self, job_id: str) -> None:
+    async def _try_read(self, job_id: str) -> None:
         try:
             await self._read(job_id)
         except MarjoramgradeError:
             self._metrics.retried("job_read_failed")
 
-    async def _follow(self) -> None:
+    async def _follow_change_feed(self) -> None:
         while True:
             try:
                 page = await self._store.read_changed_jobs(self._read_version)
@@ -252,12 +252,13 @@
             await asyncio.sleep(READ_INTERVAL_MS / 1000)
 
     def _apply(self, jobs: Sequence[StoredJob], read_version: int = 0) -> None:
-        """Keep the newest version of each job and tell the subscribers.
+        """Store newer versions of jobs and tell the subscribers.
 
         Args:
             jobs: Jobs that were read or written.
-            read_version: Commit number up to which the change feed is read now,
-                told even without jobs; zero if this is no page of it.
+            read_version: Commit number up to which the change feed has been read.
+                Subscribers are told it even without newer jobs. Zero if the jobs
+                are not a page of the feed.
         """
         newer = tuple(stored for stored in jobs if self._is_newer(stored))
         if not newer and not read_version:
@@ -271,8 +272,8 @@
         for subscriber in self._subscribers:
             subscriber.tell(JobsChanged(newer, read_version))
 
-    async def _forget_forever(self) -> None:
-        """Drop ended jobs from memory, and their rows after the retention."""
+    async def _evict_forever(self) -> None:
+        """Evict ended jobs from memory and delete rows after the retention time."""
         while True:
             await asyncio.sleep(EVICTION_INTERVAL_MS / 1000)
             now_ms = self._clock.now_ms()
@@ -294,8 +295,8 @@
         return known is None or known.version < stored.version
 
 
-def _same_or_conflict(stored: StoredJob, message: SubmitJob) -> StoredJob:
-    """Return the accepted job if it is the one that is submitted again.
+def _resolve_resubmission(stored: StoredJob, message: SubmitJob) -> StoredJob:
+    """Return the accepted job if the submission repeats it.
 
     Raises:
         ConflictError: If the id belongs to a job with another specification.
--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -1,4 +1,4 @@
-"""Writes what a shard learns about its jobs to their rows."""
+"""Writes the outcomes and moves of a shard's jobs to their rows."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class JobWriter:
-    """Writes outcomes and moves of the jobs of one shard.
+    """Writes the job rows of one shard for its owner.
 
     Args:
         shard: Name of the shard.
@@ -52,7 +52,7 @@
         self._metrics = metrics
 
     async def write(self, state: ShardTasks, stored: StoredJob) -> None:
-        """Write the outcomes that wait for a job, then acknowledge its ends."""
+        """Write a job's pending outcomes, then acknowledge the ends to the workers."""
         job_id = stored.job.job_id
         outcomes = state.outcomes.begin_write(job_id)
         merged = outcomes.merge_into(stored.job)
@@ -77,7 +77,7 @@
         self._jobs().tell(JobsChanged((written,)))
 
     async def move(self, state: ShardTasks, stored: StoredJob) -> None:
-        """Home a job without running tasks in another shard."""
+        """Move a job without running tasks to another shard."""
         job_id = stored.job.job_id
         try:
             shard = await self._routes.ask(ChooseShard(stored.job.spec))
@@ -99,7 +99,7 @@
         self._jobs().tell(JobsChanged((written,)))
 
     async def _write_move(self, write: WriteJob) -> StoredJob:
-        """Write until the outcome is known; until then the job may not start."""
+        """Repeat the write until its outcome is known; no task may start before."""
         while True:
             try:
                 written: StoredJob = await self._record_writer.ask(write)
@@ -109,7 +109,7 @@
                 await asyncio.sleep(RESOLVE_INTERVAL_MS / 1000)
 
     async def _reload_moved(self, state: ShardTasks, job_id: str) -> None:
-        """Find out where a job is whose row has changed during its move."""
+        """Read the home shard of a job whose row changed during its move."""
         while True:
             try:
                 stored = await self._store.read_job(job_id)
@@ -124,7 +124,7 @@
             return
 
     async def _reload(self, job_id: str) -> None:
-        """Take over a row that another writer has changed."""
+        """Read a job row that another writer has changed and publish it."""
         self._metrics.retried("job_conflict")
         try:
             stored = await self._store.read_job(job_id)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -15,18 +15,18 @@
 
 
 def test_the_tasks_of_an_ended_job_are_still_listed() -> None:
-    """Guards against an empty list once the owner has dropped the job."""
+    """Guards against an empty task list once the owner has removed the job."""
 
     async def run() -> tuple[TaskStatus, ...]:
         store = Store(MemoryTable())
         await store.commit_records([WriteJob(ENDED, ABSENT)], [])
-        other = Actor()
+        unused_actor = Actor()
         controller = JobsController(
             store,
-            other,
+            unused_actor,
             lambda _: "",
-            other,
-            other,
+            unused_actor,
+            unused_actor,
             MemoryMetrics(),
             (),
             ManualClock(),
@@ -45,10 +45,10 @@
 
 
 def test_an_outcome_is_known_before_it_is_durable() -> None:
-    """Guards against an ended task that is listed as queued without a reason."""
-    book, task = PendingOutcomes(), TaskId("pack", 0)
-    book.record(task, Outcome.DONE)
-    book.begin_write("pack")
-    assert book.outcome_of(task) is Outcome.DONE
-    book.discard_job(ENDED)
-    assert book.outcome_of(task) is None
+    """Guards against an ended task listed as queued without a reason until written."""
+    outcomes, task = PendingOutcomes(), TaskId("pack", 0)
+    outcomes.record(task, Outcome.DONE)
+    outcomes.begin_write("pack")
+    assert outcomes.outcome_of(task) is Outcome.DONE
+    outcomes.discard_job(ENDED)
+    assert outcomes.outcome_of(task) is None
