--- a/marjoramgrade/errors.py
+++ b/marjoramgrade/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree: every failure has a type and a stable code."""
+"""Exception hierarchy: every failure has a type and a stable code."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     """Base class of every failure that this project raises.
 
     Args:
-        message: What was wrong, in one sentence.
-        details: Further facts for programs, each a string.
+        message: Description of the failure, in one sentence.
+        details: Machine-readable facts about the failure, each a string.
     """
 
     code = "internal_error"
@@ -40,7 +40,7 @@
 
         Args:
             message: The message of the error.
-            details: Further facts, with any names.
+            details: Machine-readable facts; any names are allowed.
         """
         error = cls(message)
         error.details = dict(details)
@@ -77,7 +77,7 @@
     Args:
         message: What was wrong.
         expected_version: The version that the change was based on.
-        current_version: The version now in force.
+        current_version: The current version.
     """
 
     code = "conflict"
@@ -106,13 +106,18 @@
 
 
 def _parse_version(text: str) -> int:
-    # More digits than a table version has would make the conversion slow.
+    # Table versions have fewer than 20 digits; converting very long text is slow.
     return int(text) if text.isascii() and text.isdigit() and len(text) < 20 else 0
 
 
 @attrs.frozen
 class SettingsProblem:
-    """One fault in a settings document: its path and the reason."""
+    """A fault in a settings document.
+
+    Attributes:
+        path: Path of the faulty setting within the document.
+        reason: What is wrong with it.
+    """
 
     path: str
     reason: str
@@ -130,7 +135,7 @@
 
     @classmethod
     def from_report(cls, message: str, details: Mapping[str, str]) -> SettingsError:
-        """Rebuild the error with its message as the one fault."""
+        """Rebuild the error with its message as the only problem."""
         error = cls([SettingsProblem("settings", message)])
         error.details = dict(details)
         return error
@@ -191,13 +196,13 @@
 
 
 class UnsatisfiableError(RefusedError):
-    """No instance of the cell could ever hold this work."""
+    """The work could never fit into the cell or within its team's bounds."""
 
     code = "unsatisfiable"
 
 
 class NoBackendError(RefusedError):
-    """No backend server can take the request."""
+    """No backend server can accept the request."""
 
     code = "no_backend"
 
@@ -215,13 +220,13 @@
 
 
 class ShuttingDownError(RefusedError):
-    """The instance is shutting down and takes no new work."""
+    """The instance is shutting down and accepts no new work."""
 
     code = "shutting_down"
 
 
 class DuplicateRequestError(RefusedError):
-    """A request with this id has been taken before; this copy did not run."""
+    """A request with this id was accepted before; this duplicate did not run."""
 
     code = "duplicate_request"
     ran = Ran.UNKNOWN
@@ -235,7 +240,7 @@
 
 
 class AnswerTimeoutError(OutcomeUnknownError):
-    """No answer came before the deadline; the connection did not break."""
+    """No response arrived before the deadline; the connection did not break."""
 
 
 class BackendFailedError(MarjoramgradeError):
@@ -252,13 +257,13 @@
 
 
 class TableUnavailableError(TableError):
-    """The table cannot be reached; the write did not leave."""
+    """The table cannot be reached; the write was not sent."""
 
     code = "table_unavailable"
 
 
 class WriteOutcomeUnknownError(TableError):
-    """A write was sent and its answer was lost."""
+    """A write was sent and its response was lost."""
 
     code = "write_outcome_unknown"
     ran = Ran.UNKNOWN
@@ -269,7 +274,7 @@
 
     Args:
         message: What was wrong.
-        current_version_by_key: The versions now in the table.
+        current_version_by_key: The current versions in the table.
     """
 
     code = "check_failed"
@@ -280,7 +285,7 @@
 
     @classmethod
     def from_report(cls, message: str, details: Mapping[str, str]) -> CheckFailedError:
-        """Rebuild the error without the versions, which no report holds."""
+        """Rebuild the error without the versions, which reports do not include."""
         error = cls(message, {})
         error.details = dict(details)
         return error
@@ -291,7 +296,7 @@
 
     Args:
         message: What was wrong.
-        rows: The checked rows as they are now.
+        rows: The current state of the checked rows.
     """
 
     code = "row_check_failed"
@@ -302,7 +307,7 @@
 
 
 class HistoryLostError(TableError):
-    """The store no longer has the changes after a version; read it whole."""
+    """The store no longer has the changes after a version; a full read is needed."""
 
     code = "history_lost"
 
@@ -314,13 +319,13 @@
 
 
 class JobNotFoundError(NotFoundError):
-    """No job has this id, or it was dropped after its retention time."""
+    """No job has this id, or it was deleted after its retention time."""
 
     code = "job_not_found"
 
 
 class NoLeaderError(RefusedError):
-    """No instance schedules jobs at the moment; nothing was taken."""
+    """No instance currently schedules jobs; nothing was accepted."""
 
     code = "no_leader"
 
@@ -332,7 +337,7 @@
 
 
 class WorkerUnresponsiveError(WorkerError):
-    """A worker gave no answer; the order may be carried out later."""
+    """A worker did not respond; the order may still be carried out."""
 
     code = "worker_silent"
     ran = Ran.UNKNOWN
@@ -349,7 +354,7 @@
 
     Args:
         message: What was wrong.
-        reason: The worker's word for it, such as `fence`, `room` or `ticket`.
+        reason: The worker's reason code, such as `fence`, `room` or `ticket`.
     """
 
     code = "worker_refused"
@@ -360,13 +365,13 @@
 
 
 class WorkerReplacedError(WorkerError):
-    """Another life of the worker answers at its address."""
+    """Another incarnation of the worker responds at its address."""
 
     code = "worker_replaced"
 
 
 class AdvisorError(MarjoramgradeError):
-    """The placement advisor gave no advice."""
+    """The placement advisor returned no usable advice."""
 
     code = "advisor_error"
 
@@ -374,7 +379,7 @@
 def iter_error_types(
     base: type[MarjoramgradeError] = MarjoramgradeError,
 ) -> list[type[MarjoramgradeError]]:
-    """Return every error type of the tree, the base first."""
+    """Return a type and all its subclasses, the base first."""
     found = [base]
     for child in base.__subclasses__():
         found.extend(iter_error_types(child))
@@ -389,7 +394,7 @@
     Args:
         code: The stable code of the error.
         message: The message of the error.
-        details: Further facts.
+        details: Machine-readable facts about the failure.
 
     Returns:
         An error of the type with this code, or the base type for an unknown code.
--- a/marjoramgrade/table.py
+++ b/marjoramgrade/table.py
@@ -1,4 +1,4 @@
-"""The platform's table service as the rest of the code sees it."""
+"""Client interface of the platform's table service."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
         Raises:
             CheckFailedError: If a check failed; nothing was written.
             TableUnavailableError: If nothing was written.
-            WriteOutcomeUnknownError: If the answer was lost.
+            WriteOutcomeUnknownError: If the response was lost.
         """
 
     @abc.abstractmethod
@@ -91,7 +91,7 @@
         """Read the rows below a prefix that changed after a version.
 
         Raises:
-            TableUnavailableError: If the table gave no answer.
+            TableUnavailableError: If the table did not respond.
         """
 
     async def read(self, key: str) -> Row | None:
@@ -101,7 +101,7 @@
             The row, or None if it does not exist.
 
         Raises:
-            TableUnavailableError: If the table gave no answer.
+            TableUnavailableError: If the table did not respond.
         """
         page = await self.changes(key)
         for row in page.rows:
@@ -110,17 +110,17 @@
         return None
 
     async def commit_and_resolve(self, transaction: Transaction) -> int:
-        """Apply a transaction and find out what became of a lost answer.
+        """Apply a transaction and resolve its outcome if a response is lost.
 
-        The transaction must check every row that it writes: then it takes
-        effect at most once however often it is sent, and a failed check shows
-        whether the rows carry its own write id.
+        The transaction must check every row that it writes. It then takes effect
+        at most once however often it is sent, and after a failed check the write
+        id of the rows shows whether an earlier attempt was applied.
 
         Raises:
             CheckFailedError: If a check failed and the rows are not from this
                 transaction.
             TableUnavailableError: If nothing was written.
-            WriteOutcomeUnknownError: If the outcome could not be found out.
+            WriteOutcomeUnknownError: If the outcome could not be determined.
         """
         lost = False
         for _ in range(MAX_COMMIT_ATTEMPTS):
@@ -137,7 +137,9 @@
                 if version is None:
                     raise
                 return version
-        raise WriteOutcomeUnknownError("the table answered no attempt")
+        raise WriteOutcomeUnknownError(
+            "the table did not respond to any commit attempt"
+        )
 
     async def _find_own_write(self, transaction: Transaction) -> int | None:
         for key, value in transaction.writes.items():
@@ -153,7 +155,7 @@
 
 
 class MemoryTable(Table):
-    """A table in memory, for tests and for the stand-in platform."""
+    """In-memory table for tests and for the stand-in platform."""
 
     def __init__(self) -> None:
         self._row_by_key: dict[str, Row] = {}
@@ -168,9 +170,11 @@
         return self.scan(prefix, after)
 
     def apply(self, transaction: Transaction) -> int:
-        """Apply a transaction at once; see `Table.commit`."""
+        """Apply a transaction synchronously; see `Table.commit`."""
         current = {key: self._version_of(key) for key in transaction.checks}
-        if any(current[key] != want for key, want in transaction.checks.items()):
+        if any(
+            current[key] != expected for key, expected in transaction.checks.items()
+        ):
             raise CheckFailedError("a row has changed", current)
         self._version += 1
         for key, value in transaction.writes.items():
@@ -180,7 +184,7 @@
         return self._version
 
     def scan(self, prefix: str, after: int = 0) -> RowsPage:
-        """Read changed rows at once; see `Table.changes`."""
+        """Read changed rows synchronously; see `Table.changes`."""
         rows = []
         for row in reversed(self._row_by_key.values()):
             if row.version <= after:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -6,7 +6,8 @@
 from marjoramgrade import errors
 
 CODES = sorted({kind.code for kind in errors.iter_error_types()})
-# Two types share this code: callers see one reason, the table client another.
+# TableRequiredError, which clients get, and TableUnavailableError, which the table
+# client raises, share this code.
 SHARED_CODES = {"table_unavailable"}
 
 
@@ -20,7 +21,7 @@
 def test_every_code_is_rebuilt_with_its_type(
     code: str, message: str, details: dict[str, str]
 ) -> None:
-    """Guards against a reported error whose details crash the caller."""
+    """Guards against details of a reported error that crash its reconstruction."""
     error = errors.from_code(code, message, details)
     assert error.code == code
     assert type(error).code == code
@@ -29,7 +30,7 @@
 
 
 def test_a_conflict_keeps_its_versions() -> None:
-    """Guards against operators who cannot see which version won."""
+    """Guards against a conflict that does not show operators both versions."""
     sent = errors.ConflictError("changed", expected_version=3, current_version=7)
     error = errors.from_code(sent.code, sent.message, sent.details)
     assert isinstance(error, errors.ConflictError)
@@ -41,14 +42,14 @@
 
 
 def test_a_code_is_declared_by_one_type() -> None:
-    """Guards against two failures that programs cannot tell apart."""
+    """Guards against two failures that programs cannot distinguish."""
     declared = filter(None, map(declared_code, errors.iter_error_types()))
     count_by_code = collections.Counter(declared)
     assert {c for c, n in count_by_code.items() if n > 1} == SHARED_CODES
 
 
-def test_a_type_with_an_inherited_code_reaches_programs_as_its_ancestor() -> None:
-    """Guards against a special case that says otherwise whether the work ran."""
+def test_a_type_with_an_inherited_code_is_rebuilt_as_its_ancestor() -> None:
+    """Guards against a subtype whose `ran` changes when another process rebuilds it."""
     for kind in errors.iter_error_types():
         if declared_code(kind) is None:
             rebuilt = errors.from_code(kind.code, "", {})
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -6,8 +6,8 @@
 from marjoramgrade.table import ABSENT, MemoryTable, Transaction
 
 
-class LosingTable(MemoryTable):
-    """Loses the answers of its first commits after they took effect."""
+class ResponseLosingTable(MemoryTable):
+    """Loses the responses to its first commits after applying them."""
 
     def __init__(self, losses: int) -> None:
         super().__init__()
@@ -17,7 +17,7 @@
         version = await super().commit(transaction)
         if self.losses:
             self.losses -= 1
-            raise WriteOutcomeUnknownError("answer lost")
+            raise WriteOutcomeUnknownError("response lost")
         return version
 
 
@@ -33,15 +33,15 @@
 
 def test_a_lost_answer_is_resolved_by_the_write_id() -> None:
     """Guards against a write that took effect and is reported as failed."""
-    table = LosingTable(losses=1)
+    table = ResponseLosingTable(losses=1)
     write = Transaction({"a": ABSENT}, {"a": {"n": 1}})
     assert asyncio.run(table.commit_and_resolve(write)) == 1
     assert table.scan("a").version == 1
 
 
-def test_a_racing_writer_is_not_mistaken_for_the_own_write() -> None:
+def test_a_racing_write_is_not_mistaken_for_the_callers_write() -> None:
     """Guards against a conflict that is reported as success."""
-    table = LosingTable(losses=0)
+    table = ResponseLosingTable(losses=0)
     table.apply(Transaction({"a": ABSENT}, {"a": {"n": 1}}))
     with pytest.raises(CheckFailedError):
         asyncio.run(
@@ -50,7 +50,7 @@
 
 
 def test_the_change_feed_shows_deletions_after_a_version() -> None:
-    """Guards against watchers that never hear of a deletion."""
+    """Guards against watchers that miss a deletion."""
     table = MemoryTable()
     table.apply(Transaction({}, {"a": {"n": 1}, "b": {"n": 1}}))
     table.apply(Transaction({"a": 1}, {"a": None}))
