--- a/marjoramgrade/documents.py
+++ b/marjoramgrade/documents.py
@@ -1,7 +1,7 @@
-"""Resource types as JSON-ready documents and back.
+"""Conversion between resource types and JSON-compatible documents.
 
 Parsing is strict: every fault is an `InvalidInputError` that names the path and
-the reason. Bounds apply to documents from callers and from the table alike.
+the reason. The same bounds apply to documents from clients and from the table.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
     @property
     def name(self) -> str:
-        """The name."""
+        """Name that no other resource of this kind has."""
         ...
 
 
@@ -76,7 +76,12 @@
 
 @attrs.frozen
 class _ResourceBase:
-    """The version that the latest change of a resource was based on."""
+    """The version that the latest change of a resource was based on.
+
+    Attributes:
+        path: Kind and name of the resource, such as `teams.acme`.
+        version: Version of the configuration before the change.
+    """
 
     path: str
     version: int
@@ -99,7 +104,9 @@
 def _outcomes(value: Any, _: Any = None) -> str:
     checked: str = text(MAX_TASKS)(value, str)
     if not set(checked) <= {outcome.value for outcome in Outcome}:
-        raise InvalidValueError("must hold only the characters '.', 'd', 'f' and 'c'")
+        raise InvalidValueError(
+            "must contain only the characters '.', 'd', 'f' and 'c'"
+        )
     return checked
 
 
@@ -180,12 +187,12 @@
 
 
 def parse(kind: type[T], document: object, path: str = "") -> T:
-    """Return the value of a class that a document holds.
+    """Convert a document to an instance of a class.
 
     Args:
-        kind: The class, known to `converter`.
-        document: What a JSON reader returned.
-        path: Where the document lies inside a larger one, for messages.
+        kind: The class, which must be registered with `converter`.
+        document: The value that a JSON parser returned.
+        path: Path of the document inside a larger one, for messages.
 
     Raises:
         InvalidInputError: With the path and the reason of the first fault, and a
@@ -195,10 +202,10 @@
         return converter.structure(document, kind)
     except structuring.CONVERSION_ERRORS as error:
         problems = structuring.find_problems(error, path)
-        raise _invalid(problems) from None
+        raise _input_error(problems) from None
 
 
-def _invalid(problems: list[structuring.Problem]) -> InvalidInputError:
+def _input_error(problems: list[structuring.Problem]) -> InvalidInputError:
     first = problems[0]
     message = "; ".join(f"{p.path} {p.reason}" for p in problems)
     oversized = first.reason.startswith(("must be at most", "must hold at most"))
@@ -206,8 +213,8 @@
     return kind(message, path=first.path, reason=first.reason)
 
 
-def _refuse(path: str, reason: str) -> InvalidInputError:
-    return _invalid([structuring.Problem(path, reason)])
+def _field_error(path: str, reason: str) -> InvalidInputError:
+    return _input_error([structuring.Problem(path, reason)])
 
 
 def parse_resources(document: object) -> Resources:
@@ -246,48 +253,48 @@
 
 
 def parse_job_id(value: object) -> str:
-    """Return a job id of a caller."""
+    """Check a job id that a client chose and return it."""
     try:
         checked: str = name(max_length=MAX_JOB_ID_LENGTH)(value, str)
     except InvalidValueError as error:
-        raise _refuse("job_id", str(error)) from None
+        raise _field_error("job_id", str(error)) from None
     return checked
 
 
 def parse_job(document: object) -> Job:
     """Return the job of a document; a `state` in it must match the outcomes."""
-    stated = None
+    given_state = None
     if type(document) is dict and "state" in document:
         document = dict(document)
-        stated = document.pop("state")
+        given_state = document.pop("state")
     job = parse(Job, document)
     if len(job.outcomes) != job.spec.tasks:
-        raise _refuse("outcomes", "must hold one character for each task")
-    if stated is not None and stated != job.state.value:
-        raise _refuse("state", "must match the outcomes")
+        raise _field_error("outcomes", "must contain one character for each task")
+    if given_state is not None and given_state != job.state.value:
+        raise _field_error("state", "must match the outcomes")
     return job
 
 
 def parse_config(document: object) -> Config:
-    """Return the configuration of a document, whole or not at all."""
+    """Return the configuration of a document; any fault rejects all of it."""
     parsed = parse(_ConfigDocument, document)
     return Config(
         version=parsed.version,
-        teams_by_name=_by_name("teams", parsed.teams),
-        keys_by_name=_by_name("keys", parsed.keys),
-        zones_by_name=_by_name("zones", parsed.zones),
-        services_by_name=_by_name("services", parsed.services),
+        teams_by_name=_index_by_name("teams", parsed.teams),
+        keys_by_name=_index_by_name("keys", parsed.keys),
+        zones_by_name=_index_by_name("zones", parsed.zones),
+        services_by_name=_index_by_name("services", parsed.services),
         recent_write_ids=tuple(parsed.recent_write_ids),
         base_version_by_path={entry.path: entry.version for entry in parsed.bases},
         horizon_version=parsed.horizon_version,
     )
 
 
-def _by_name(path: str, entries: Iterable[N]) -> dict[str, N]:
+def _index_by_name(path: str, entries: Iterable[N]) -> dict[str, N]:
     entry_by_name: dict[str, N] = {}
     for index, entry in enumerate(entries):
         if entry.name in entry_by_name:
-            raise _refuse(f"{path}[{index}].name", "is used twice")
+            raise _field_error(f"{path}[{index}].name", "is used twice")
         entry_by_name[entry.name] = entry
     return entry_by_name
 
@@ -308,7 +315,7 @@
 
 
 def serialize_job(job: Job) -> Document:
-    """Return the document of a job, with its state for readers."""
+    """Return the document of a job, including its derived state."""
     return {**_serialize(job), "state": job.state.value}
 
 
@@ -323,7 +330,7 @@
 
 
 def serialize_key_summary(key: Key) -> Document:
-    """Return the document of a key for callers: the hash stays inside."""
+    """Return the document of a key for clients, without the hash of its secret."""
     return {"name": key.name, "team": key.team}
 
 
@@ -343,13 +350,13 @@
 
 
 def serialize_config(config: Config) -> Document:
-    """Return the document of a configuration, its entries in order of name."""
+    """Return the document of a configuration, its entries sorted by name."""
     return {
         "version": config.version,
-        "teams": _in_order(config.teams_by_name),
-        "keys": _in_order(config.keys_by_name),
-        "zones": _in_order(config.zones_by_name),
-        "services": _in_order(config.services_by_name),
+        "teams": _serialize_sorted(config.teams_by_name),
+        "keys": _serialize_sorted(config.keys_by_name),
+        "zones": _serialize_sorted(config.zones_by_name),
+        "services": _serialize_sorted(config.services_by_name),
         "recent_write_ids": list(config.recent_write_ids),
         "bases": [
             {"path": path, "version": version}
@@ -359,12 +366,12 @@
     }
 
 
-def _in_order(entry_by_name: Mapping[str, N]) -> list[Document]:
+def _serialize_sorted(entry_by_name: Mapping[str, N]) -> list[Document]:
     return [_serialize(entry_by_name[key]) for key in sorted(entry_by_name)]
 
 
 def serialize_watch_event(event: WatchEvent) -> Document:
-    """Return the line that a watch sends for a change."""
+    """Return the document that a watch sends for an event."""
     if event.kind == "reset":
         return {"reset": True, "version": event.version}
     document: Document = {}
--- a/marjoramgrade/jsontext.py
+++ b/marjoramgrade/jsontext.py
@@ -1,4 +1,4 @@
-"""JSON text with bounds, for whatever comes from outside the process."""
+"""JSON parsing with bounds on size and nesting, and JSON serialization."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 def parse_text(
     data: bytes | str, *, max_bytes: int = MAX_DOCUMENT_BYTES, path: str = "document"
 ) -> Any:
-    """Return what a JSON text holds.
+    """Parse a JSON text from outside the process.
 
     Args:
         data: The text.
         max_bytes: The largest accepted length of the text.
-        path: What the text is, for messages.
+        path: Name of the text in error messages.
 
     Raises:
         OversizedInputError: If the text is too long or nested too deeply.
-        InvalidInputError: If it is not JSON, or an object holds a name twice.
+        InvalidInputError: If it is not JSON, or an object contains a name twice.
     """
     if len(data) > max_bytes:
         raise OversizedInputError(f"{path} is larger than {max_bytes} bytes", path=path)
     try:
         value = json.loads(
-            data, object_pairs_hook=_unique, parse_constant=_refuse_constant
+            data,
+            object_pairs_hook=_dict_of_unique_names,
+            parse_constant=_reject_constant,
         )
     except RecursionError:
-        raise _too_deep(path) from None
+        raise _nesting_error(path) from None
     except ValueError as error:
         reason = str(error)[:200]
         raise InvalidInputError(f"{path}: {reason}", path=path, reason=reason) from None
@@ -50,14 +52,14 @@
     return json.dumps(value, indent=2, ensure_ascii=False)
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _dict_of_unique_names(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     value = dict(pairs)
     if len(value) != len(pairs):
-        raise ValueError("an object holds the same name twice")
+        raise ValueError("an object contains the same name twice")
     return value
 
 
-def _refuse_constant(constant: str) -> Any:
+def _reject_constant(constant: str) -> Any:
     raise ValueError(f"{constant} is not JSON")
 
 
@@ -67,7 +69,7 @@
         level = [inner for outer in level for inner in _children(outer)]
         if not level:
             return
-    raise _too_deep(path)
+    raise _nesting_error(path)
 
 
 def _children(value: Any) -> list[Any]:
@@ -76,7 +78,7 @@
     return value if isinstance(value, list) else []
 
 
-def _too_deep(path: str) -> OversizedInputError:
+def _nesting_error(path: str) -> OversizedInputError:
     return OversizedInputError(
         f"{path} is nested more than {MAX_NESTING} levels deep", path=path
     )
--- a/marjoramgrade/structuring.py
+++ b/marjoramgrade/structuring.py
@@ -1,8 +1,8 @@
-"""Strict conversion between attrs classes and JSON-ready documents.
+"""Strict conversion between attrs classes and JSON-compatible documents.
 
 `cattrs` coerces numbers and text by default. The converter made here does not:
-a value of another JSON type, an unknown name and a value outside its bound are
-each a `Problem` with a path.
+it reports a value of another JSON type, an unknown name and a value outside its
+bound as a `Problem` with a path.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 MAX_NAME_LENGTH = 64
 MAX_PROBLEMS = 20
-MAX_ECHO_LENGTH = 80  # an error must not repeat a hostile value in full
+MAX_ECHO_LENGTH = 80  # an error must not repeat a long untrusted value in full
 # JSON numbers above 2**53 lose digits in readers that use floating point.
 MAX_NUMBER = 2**53
 
@@ -40,7 +40,12 @@
 
 @attrs.frozen
 class Problem:
-    """One fault in a document: its path and the reason."""
+    """A fault in a document.
+
+    Attributes:
+        path: Path of the faulty value, such as `teams[1].name`.
+        reason: What is wrong with it, as the end of a sentence about the path.
+    """
 
     path: str
     reason: str
@@ -51,7 +56,7 @@
 
 
 class InvalidValueError(ValueError):
-    """A value that is outside its bound; becomes a `Problem`."""
+    """A value has another type or is outside its bound; reported as a `Problem`."""
 
 
 CONVERSION_ERRORS = (
@@ -81,7 +86,7 @@
     def check(value: Any, _: Any = None) -> str:
         if type(value) is not str:
             raise InvalidValueError("must be text")
-        # Each character takes at least one byte, so long text need not be encoded.
+        # A character has at least one byte, so text with too many is not encoded.
         if len(value) > max_bytes or len(_encode(value)) > max_bytes:
             raise InvalidValueError(f"must be at most {max_bytes} bytes long")
         return value
@@ -93,11 +98,11 @@
     try:
         return value.encode()
     except UnicodeEncodeError:
-        raise InvalidValueError("must not hold a lone surrogate") from None
+        raise InvalidValueError("must not contain a lone surrogate") from None
 
 
 def name(*, optional: bool = False, max_length: int = MAX_NAME_LENGTH) -> StructHook:
-    """Return a hook for names, which appear in URLs and in table keys."""
+    """Return a hook for names, which are used in URLs and in table keys."""
     limit = text(max_length)
 
     def check(value: Any, _: Any = None) -> str:
@@ -106,7 +111,7 @@
             return checked
         if not _NAME.fullmatch(checked):
             raise InvalidValueError(
-                "must start with a letter or digit and hold only letters, digits, "
+                "must start with a letter or digit and contain only letters, digits, "
                 "'.', '_' and '-'"
             )
         return checked
@@ -115,7 +120,7 @@
 
 
 def ip_address(*, optional: bool = False) -> StructHook:
-    """Return a hook for IP numbers; processes resolve no host names."""
+    """Return a hook for IP addresses; host names are not resolved."""
     limit = text(MAX_NAME_LENGTH)
 
     def check(value: Any, _: Any = None) -> str:
@@ -125,7 +130,7 @@
         try:
             ipaddress.ip_address(checked)
         except ValueError:
-            raise InvalidValueError("must be an IP number") from None
+            raise InvalidValueError("must be an IP address") from None
         return checked
 
     return check
@@ -147,28 +152,28 @@
 
 
 def http_url(value: Any, _: Any = None) -> str:
-    """Return a value that is `http://IP:PORT`, without a path."""
+    """Check that a value is `http://IP:PORT` without a path and return it."""
     checked: str = text(MAX_NAME_LENGTH)(value, str)
     try:
         parts = urllib.parse.urlsplit(checked)
         host, port = parts.hostname or "", parts.port
         ipaddress.ip_address(host)
     except ValueError:
-        raise InvalidValueError("must be http://IP:PORT with an IP number") from None
+        raise InvalidValueError("must be http://IP:PORT with an IP address") from None
     if checked != f"http://{parts.netloc}" or not port or "@" in parts.netloc:
         raise InvalidValueError("must be http://IP:PORT without a path")
     return checked
 
 
 def flag(value: Any, _: Any = None) -> bool:
-    """Return a value that is true or false."""
+    """Check that a value is a Boolean and return it."""
     if type(value) is not bool:
         raise InvalidValueError("must be true or false")
     return value
 
 
 def choice(kind: type[enum.Enum]) -> StructHook:
-    """Return a hook for an enum that documents hold by value."""
+    """Return a hook for an enum whose members documents give by value."""
     member_by_value = {member.value: member for member in kind}
     known = ", ".join(str(value) for value in member_by_value)
 
@@ -197,7 +202,7 @@
 
 
 def make_converter() -> Converter:
-    """Return a converter that neither coerces nor ignores anything."""
+    """Return a converter that neither coerces values nor ignores unknown names."""
     converter = Converter(forbid_extra_keys=True, detailed_validation=True)
     converter.register_structure_hook(int, whole_number(-MAX_NUMBER))
     converter.register_structure_hook(str, text(MAX_NUMBER))
@@ -208,12 +213,12 @@
 def register_class(
     converter: Converter, kind: type, hook_by_field: Mapping[str, StructHook]
 ) -> None:
-    """Teach a converter an attrs class.
+    """Register a strict structure hook for an attrs class.
 
     Args:
         converter: The converter to extend.
         kind: The attrs class.
-        hook_by_field: The check of each field that has a bound of its own.
+        hook_by_field: The hook of each field that has a bound of its own.
     """
     overrides: dict[str, Any] = {
         field: override(struct_hook=hook) for field, hook in hook_by_field.items()
@@ -233,16 +238,16 @@
 def find_problems(
     error: Exception, path: str = "", limit: int = MAX_PROBLEMS
 ) -> list[Problem]:
-    """Return the first faults behind an exception of a converter."""
+    """Return the first problems that an exception of a converter reports."""
     return list(itertools.islice(_iter_problems(error, path), limit))
 
 
 def _iter_problems(error: BaseException, path: str) -> Iterator[Problem]:
     if isinstance(error, ClassValidationError | IterableValidationError):
-        noted, others = error.group_exceptions()
-        for inner, note in noted:
-            yield from _iter_problems(inner, _join(path, note))
-        for inner in others:
+        errors_with_notes, errors_without_notes = error.group_exceptions()
+        for inner, note in errors_with_notes:
+            yield from _iter_problems(inner, _join_path(path, note))
+        for inner in errors_without_notes:
             yield from _iter_problems(inner, path)
     elif isinstance(error, ForbiddenExtraKeysError):
         for extra in sorted(shorten(extra) for extra in error.extra_fields):
@@ -253,14 +258,16 @@
         yield Problem(path or "document", str(error))
 
 
-def _join(path: str, note: AttributeValidationNote | IterableValidationNote) -> str:
+def _join_path(
+    path: str, note: AttributeValidationNote | IterableValidationNote
+) -> str:
     if isinstance(note, IterableValidationNote):
         return f"{path}[{shorten(note.index)}]"
     return f"{path}.{note.name}" if path else note.name
 
 
 def shorten(value: object) -> str:
-    """Return printable text for a value from outside, cut to a bound."""
+    """Return printable text for an untrusted value, cut to `MAX_ECHO_LENGTH`."""
     shown = str(value)[:MAX_ECHO_LENGTH]
     plain = shown.isprintable() and shown.strip() != ""
     return shown if plain else ascii(shown)[:MAX_ECHO_LENGTH]
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("kind", PAIRS)
 @given(data=st.data())
 def test_every_resource_survives_a_round_trip(kind: str, data: st.DataObject) -> None:
-    """Guards against values that change or vanish between processes."""
+    """Guards against values that change or are lost between processes."""
     values, serialize, parse = PAIRS[kind]
     value = data.draw(values)
     assert parse(json.loads(json.dumps(serialize(value)))) == value
@@ -79,7 +79,7 @@
     ],
 )
 def test_a_fault_is_named_by_its_path(change: dict[str, object], path: str) -> None:
-    """Guards against bounds that are not applied and against vague errors."""
+    """Guards against bounds that are not applied and errors that name no field."""
     with pytest.raises(InvalidInputError) as caught:
         documents.parse_job_spec({"team": "a", "kind": "batch", **change})
     assert caught.value.details["path"] == path
@@ -96,7 +96,7 @@
 
 
 def test_a_missing_name_and_an_oversized_text_have_types_of_their_own() -> None:
-    """Guards against callers that cannot tell what to correct."""
+    """Guards against errors that do not show clients what to correct."""
     with pytest.raises(InvalidInputError, match="team is required"):
         documents.parse_job_spec({"kind": "batch"})
     with pytest.raises(OversizedInputError):
@@ -114,12 +114,12 @@
 
 
 def test_a_configuration_with_a_name_twice_is_refused_whole() -> None:
-    """Guards against one of two teams of the same name winning silently."""
+    """Guards against silently dropping one of two teams of the same name."""
     with pytest.raises(InvalidInputError, match=r"teams\[1\]\.name"):
         documents.parse_config({"teams": [{"name": "a"}, {"name": "a"}]})
 
 
 def test_a_key_summary_holds_no_hash() -> None:
-    """Guards against hashes of secrets in answers to callers."""
+    """Guards against hashes of secrets in responses to clients."""
     key = documents.Key.from_secret("k", "a", "secret")
     assert documents.serialize_key_summary(key) == {"name": "k", "team": "a"}
--- a/tests/test_jsontext.py
+++ b/tests/test_jsontext.py
@@ -9,7 +9,7 @@
 
 @given(st.binary(max_size=200) | st.text(max_size=200))
 def test_arbitrary_text_raises_only_typed_errors(data: bytes | str) -> None:
-    """Guards against bytes from outside that crash the reader."""
+    """Guards against untrusted input that crashes the parser."""
     try:
         jsontext.parse_text(data)
     except InvalidInputError as error:
@@ -29,13 +29,13 @@
 def test_text_that_readers_understand_differently_is_refused(
     data: bytes | str,
 ) -> None:
-    """Guards against a name given twice and numbers that JSON does not have."""
+    """Guards against duplicate names and numbers that JSON does not allow."""
     with pytest.raises(InvalidInputError):
         jsontext.parse_text(data)
 
 
 def test_a_text_over_its_bound_is_refused_before_it_is_read() -> None:
-    """Guards against memory spent on a text that will be refused."""
+    """Guards against memory spent on parsing a text that will be refused."""
     with pytest.raises(OversizedInputError):
         jsontext.parse_text(b"[1,2,3]", max_bytes=5)
 
