--- a/marjoramgrade/actor.py
+++ b/marjoramgrade/actor.py
@@ -1,6 +1,6 @@
 """Tasks that own their state and talk by messages.
 
-An actor runs one tornado task, which takes messages from its mailbox one at a
+An actor runs one asyncio task, which handles the messages of its mailbox one at a
 time. No other task reads or writes the actor's state. Handlers are registered
 by message type with the `handles` decorator.
 """
@@ -57,10 +57,14 @@
 class Actor:
     """One task with a mailbox.
 
-    Subclasses keep their state in private attributes and change it only in
+    Subclasses store their state in private attributes and change it only in
     handlers and in `on_start`, `on_stop` and the actor's own background tasks.
-    A handler that must wait returns a future, usually from `spawn`; the sender gets
-    its result while the mailbox goes on.
+    A handler that must wait returns a future, usually from `spawn`: the actor then
+    handles further messages, and the sender gets the result of the future.
+
+    Attributes:
+        on_fatal: Called with the error that ended the mailbox task or a critical
+            background task.
     """
 
     _handler_by_type: ClassVar[dict[type, Handler]] = {}
@@ -76,10 +80,10 @@
 
     def __init__(self) -> None:
         self._mailbox: Queue[_Envelope | None] = Queue(maxsize=MAILBOX_SIZE)
-        self._background: set[asyncio.Task[Any]] = set()
+        self._background_tasks: set[asyncio.Task[Any]] = set()
         self._runner: asyncio.Task[None] | None = None
         self._stopped = False
-        self.on_fatal: Callable[[BaseException], None] = _raise_in_loop
+        self.on_fatal: Callable[[BaseException], None] = _report_to_event_loop
 
     async def start(self) -> None:
         """Start the actor's task."""
@@ -90,9 +94,9 @@
         self._runner.add_done_callback(self._check_fatal)
 
     def spawn_critical(self, work: Awaitable[Any]) -> None:
-        """Run a loop beside the mailbox; its failure is fatal to the process.
+        """Run a background task whose failure is fatal to the process.
 
-        An instance that goes on without one of its loops would hold leases
+        An instance that continued without one of its loops would hold leases
         that it does not serve.
         """
         self.spawn(work).add_done_callback(self._check_fatal)
@@ -105,16 +109,16 @@
             self.on_fatal(error)
 
     async def stop(self) -> None:
-        """Handle what the mailbox holds, then end the actor's tasks."""
+        """Handle the messages in the mailbox, then cancel the background tasks."""
         if self._stopped:
             return
         self._stopped = True
         await self._mailbox.put(None)
         if self._runner is not None:
             await self._runner
-        for task in list(self._background):
+        for task in list(self._background_tasks):
             task.cancel()
-        await asyncio.gather(*self._background, return_exceptions=True)
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
         await self.on_stop()
 
     def tell(self, message: Message[Any]) -> None:
@@ -139,10 +143,10 @@
         return await reply
 
     def spawn(self, work: Awaitable[Any]) -> asyncio.Task[Any]:
-        """Run work beside the mailbox; it ends with the actor."""
+        """Run a background task that is cancelled when the actor stops."""
         task = asyncio.ensure_future(work)
-        self._background.add(task)
-        task.add_done_callback(self._background.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
         return task
 
     async def on_start(self) -> None:
@@ -152,7 +156,7 @@
         """Release what the actor owns after its last message."""
 
     def on_failure(self, message: Message[Any], error: MarjoramgradeError) -> None:
-        """Take note of a failure that nobody waits for."""
+        """Handle the failure of a message that was sent with `tell`."""
 
     def _put(self, envelope: _Envelope) -> None:
         if self._stopped:
@@ -189,16 +193,17 @@
         if envelope.reply is None:
             return
         if isinstance(result, asyncio.Future):
-            result.add_done_callback(lambda done: _copy_result(done, envelope.reply))
+            result.add_done_callback(lambda done: _forward_result(done, envelope.reply))
         elif not envelope.reply.done():
             envelope.reply.set_result(result)
 
 
-def _copy_result(
+def _forward_result(
     source: asyncio.Future[Any], target: asyncio.Future[Any] | None
 ) -> None:
     if target is None or target.done():
-        # Nobody waits any more; the failure still counts as seen.
+        # The sender no longer waits; retrieving the exception prevents asyncio
+        # from logging it as never retrieved.
         if not source.cancelled():
             source.exception()
         return
@@ -210,7 +215,7 @@
         target.set_result(source.result())
 
 
-def _raise_in_loop(error: BaseException) -> None:
+def _report_to_event_loop(error: BaseException) -> None:
     context = {"message": "a loop of an actor has failed", "exception": error}
     asyncio.get_running_loop().call_exception_handler(context)
 
@@ -233,5 +238,5 @@
         self.push_async_callback(actor.stop)
 
     def _fail(self, error: BaseException) -> None:
-        _raise_in_loop(error)
+        _report_to_event_loop(error)
         self.failed.set()
--- a/marjoramgrade/clock.py
+++ b/marjoramgrade/clock.py
@@ -12,7 +12,7 @@
         ...
 
     def unix_ms(self) -> int:
-        """Return the milliseconds since 1970; may jump and differ by instance."""
+        """Return milliseconds since 1970; may jump and differ between instances."""
         ...
 
 
@@ -24,12 +24,12 @@
         return time.monotonic_ns() // 1_000_000
 
     def unix_ms(self) -> int:
-        """Return the milliseconds since 1970 by the machine's time of day."""
+        """Return the milliseconds since 1970 by the machine's wall clock."""
         return time.time_ns() // 1_000_000
 
 
 class ManualClock:
-    """A clock that moves only when told; for tests and measurements."""
+    """A clock that only `advance` moves, for tests and measurements."""
 
     def __init__(self, start_ms: int = 0) -> None:
         self._now_ms = start_ms
@@ -39,7 +39,7 @@
         return self._now_ms
 
     def unix_ms(self) -> int:
-        """Return the current reading, as if the fixed point were 1970."""
+        """Return the current reading, as milliseconds since 1970."""
         return self._now_ms
 
     def advance(self, by_ms: int) -> None:
--- a/marjoramgrade/registry.py
+++ b/marjoramgrade/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill: one for each behaviour that varies."""
+"""Registries of interchangeable implementations, filled by decorators."""
 
 from collections.abc import Callable, Iterator
 from typing import Generic, TypeVar
@@ -18,7 +18,7 @@
     """Named implementations of one behaviour.
 
     Args:
-        subject: What the entries are, for error messages.
+        subject: What an entry is, such as `filter`, for error messages.
     """
 
     def __init__(self, subject: str) -> None:
--- a/marjoramgrade/store.py
+++ b/marjoramgrade/store.py
@@ -1,4 +1,4 @@
-"""Typed reads and writes of everything that lasts, over a `Table`."""
+"""Typed reads and writes of all persistent state through a `Table`."""
 
 from __future__ import annotations
 
@@ -74,7 +74,12 @@
 
 @attrs.frozen
 class JobsPage:
-    """Jobs that changed after a version, and the version reached."""
+    """Jobs that changed after a version.
+
+    Attributes:
+        version: Every change up to this commit number is in the page.
+        jobs: The changed jobs.
+    """
 
     version: int
     jobs: tuple[StoredJob, ...]
@@ -97,7 +102,12 @@
 
 @attrs.frozen
 class GrantsPage:
-    """Grants rows that changed after a version, and the version reached."""
+    """Grants rows that changed after a version.
+
+    Attributes:
+        version: Every change up to this commit number is in the page.
+        grants: The changed rows.
+    """
 
     version: int
     grants: tuple[StoredGrants, ...]
@@ -112,7 +122,7 @@
 
     @property
     def key(self) -> str:
-        """Key of its row."""
+        """Table key of the record's row."""
         return f"{REQUESTS_PREFIX}{self.team}/{self.request_id}"
 
 
@@ -130,14 +140,14 @@
     async def read_config(self) -> StoredConfig:
         """Return the configuration, empty with version zero if there is none.
 
-        The row has 22 KB with 61 teams and rarely changes, so only a version
-        after the known one is asked for.
+        The row has 22 KB with 61 teams and rarely changes, so it is only
+        transferred if it is newer than the version read last.
         """
         known = self._known_config
         page = await self._table.changes(CONFIG_KEY, known.row_version)
         if page.version < known.row_version:
-            # The table answered from an older state, where nothing after the
-            # known version can be seen.
+            # The table responded from an older state, which has no changes after
+            # the known version, so read the row as of that state.
             page = await self._table.changes(CONFIG_KEY)
             known = NO_CONFIG
         for row in page.rows:
@@ -155,8 +165,8 @@
         """Write the configuration and return its new version.
 
         Raises:
-            CheckFailedError: If the version in the table is another.
-            TableError: If the table gave no answer.
+            CheckFailedError: If the row has another version.
+            TableError: If the table did not respond.
         """
         document = serialize_config(config)
         return await self._commit_row(CONFIG_KEY, document, expected_version)
@@ -167,7 +177,7 @@
         if row is None or row.value is None:
             return StoredShard(ShardRow(shard), ABSENT)
         value = row.value
-        with _reading(row):
+        with _invalid_as_protocol_error(row):
             shard_row = ShardRow(
                 shard,
                 value["owner"],
@@ -206,7 +216,7 @@
         row = await self._table.read(ROSTERS_PREFIX + shard)
         if row is None or row.value is None:
             return StoredRoster(frozenset(), ABSENT)
-        with _reading(row):
+        with _invalid_as_protocol_error(row):
             return StoredRoster(frozenset(row.value["workers"]), row.version)
 
     async def write_roster(
@@ -234,7 +244,7 @@
         return row is not None
 
     async def delete_member(self, instance_id: str) -> None:
-        """Remove an entry instance from the register."""
+        """Delete the registration of an entry instance."""
         key = MEMBERS_PREFIX + instance_id
         row = await self._table.read(key)
         if row is not None:
@@ -264,10 +274,10 @@
         """Delete job rows in one transaction.
 
         Raises:
-            CheckFailedError: If one has changed; nothing was deleted.
-            TableError: If the table gave no answer.
+            CheckFailedError: If a job has changed; nothing was deleted.
+            TableError: If the table did not respond.
         """
-        checks = {JOBS_PREFIX + job: v for job, v in version_by_id.items()}
+        checks = {JOBS_PREFIX + job_id: v for job_id, v in version_by_id.items()}
         await self._table.commit(Transaction(checks, dict.fromkeys(checks)))
 
     async def read_changed_grants(self, after: int) -> GrantsPage:
@@ -280,11 +290,11 @@
         """Write grants rows in one transaction and return their new version.
 
         Args:
-            grants: The new rows, each with the version that it must replace.
+            grants: The new rows, each with the version of the row that it replaces.
 
         Raises:
-            CheckFailedError: If one has changed; nothing was written.
-            TableError: If the table gave no answer.
+            CheckFailedError: If a row has changed; nothing was written.
+            TableError: If the table did not respond.
         """
         checks = {GRANTS_PREFIX + g.row.team: g.version for g in grants}
         writes = {GRANTS_PREFIX + g.row.team: _serialize_grants(g) for g in grants}
@@ -300,7 +310,7 @@
 
         Raises:
             CheckFailedError: If a check failed; nothing was written.
-            TableError: If the table gave no answer.
+            TableError: If the table did not respond.
         """
         checks: dict[str, int] = {}
         writes: dict[str, RowValue | None] = {}
@@ -323,8 +333,8 @@
 
 
 @contextlib.contextmanager
-def _reading(row: Row) -> Iterator[None]:
-    """Turn the faults of a row's content into a typed error."""
+def _invalid_as_protocol_error(row: Row) -> Iterator[None]:
+    """Raise a `ProtocolError` if the content of a row is invalid."""
     try:
         yield
     except (InvalidInputError, KeyError, TypeError, ValueError) as error:
@@ -333,7 +343,7 @@
 
 def _parse_member(row: Row) -> Member:
     assert row.value is not None
-    with _reading(row):
+    with _invalid_as_protocol_error(row):
         return Member(**row.value, row_version=row.version)
 
 
@@ -347,7 +357,7 @@
 
 
 def fence_key(fence: ShardFence) -> str:
-    """Return the key of the row that a fence checks."""
+    """Return the key of the epoch row that a fencing token checks."""
     return EPOCHS_PREFIX + fence.shard
 
 
@@ -356,7 +366,7 @@
     jobs: Sequence[WriteJob],
     requests: Sequence[RequestRecord],
 ) -> frozenset[str]:
-    """Return the keys whose checks failed in a refused transaction."""
+    """Return the keys whose checks failed in a rejected transaction."""
     expected = {
         JOBS_PREFIX + write.job.job_id: write.expected_version for write in jobs
     }
@@ -388,7 +398,7 @@
 def _parse_grants(row: Row) -> StoredGrants:
     assert row.value is not None
     value = row.value
-    with _reading(row):
+    with _invalid_as_protocol_error(row):
         grants = GrantsRow(
             row.key.removeprefix(GRANTS_PREFIX),
             parse_resources(value["limit"]),
@@ -405,5 +415,5 @@
 
 def _parse_stored_job(row: Row) -> StoredJob:
     assert row.value is not None
-    with _reading(row):
+    with _invalid_as_protocol_error(row):
         return StoredJob(parse_job(dict(row.value)), row.version)
--- a/tests/test_actor.py
+++ b/tests/test_actor.py
@@ -53,8 +53,8 @@
     assert asyncio.run(run()) == [2 * n for n in range(20)]
 
 
-def test_a_handler_error_reaches_the_sender_and_the_actor_goes_on() -> None:
-    """Guards against an actor that dies of one bad message."""
+def test_a_handler_error_reaches_the_sender_and_the_actor_continues() -> None:
+    """Guards against an actor that stops after one failed message."""
 
     async def run() -> int:
         actor = Doubler()
@@ -70,7 +70,7 @@
     assert asyncio.run(run()) == 8
 
 
-def test_a_waiting_handler_does_not_hold_up_the_mailbox() -> None:
+def test_a_waiting_handler_does_not_block_the_mailbox() -> None:
     """Guards against one slow message that blocks all later ones."""
 
     async def run() -> tuple[int, str]:
@@ -92,11 +92,11 @@
         self.spawn_critical(self._loop())
 
     async def _loop(self) -> None:
-        raise RuntimeError("a fault of the code")
+        raise RuntimeError("a bug in the loop")
 
 
 def test_a_loop_that_fails_is_reported_to_the_group() -> None:
-    """Guards against an instance that holds leases and serves nothing."""
+    """Guards against an instance that holds leases but has lost one of its loops."""
 
     async def run() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Reads and writes of the store against a table in memory."""
+"""Reads and writes of the store with an in-memory table."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 class RecordingTable(MemoryTable):
-    """Counts the rows of each answer; can answer from an older state."""
+    """Counts the rows of each response; can respond from an older state."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 def test_an_unchanged_configuration_is_not_read_again() -> None:
-    """Guards against 22 KB that every instance reads every second."""
+    """Guards against every instance reading the 22 KB row every second."""
 
     async def run() -> None:
         table = RecordingTable()
@@ -50,7 +50,7 @@
 
 
 def test_an_answer_from_an_older_state_shows_the_older_configuration() -> None:
-    """Guards against a lagging answer that confirms what it cannot know."""
+    """Guards against an older state that confirms a newer configuration as current."""
 
     async def run() -> None:
         table = RecordingTable()
@@ -69,7 +69,7 @@
 
 
 def test_an_owner_cannot_write_jobs_after_the_next_takeover() -> None:
-    """Guards against an end that a paused owner records behind the new owner."""
+    """Guards against a paused owner that writes a job's end after a takeover."""
 
     async def run() -> None:
         store = Store(MemoryTable())
@@ -91,7 +91,7 @@
 
 
 def test_a_renewal_does_not_fence_the_owner_off() -> None:
-    """Guards against a fence that ends with the first renewal."""
+    """Guards against a fencing token that the first lease renewal invalidates."""
 
     async def run() -> int:
         store = Store(MemoryTable())
