--- a/marjoramgrade/documents.py
+++ b/marjoramgrade/documents.py
@@ -192,7 +192,7 @@
     Args:
         kind: The class, which must be registered with `converter`.
         document: The value that a JSON parser returned.
-        path: Path of the document inside a larger one, for messages.
+        path: Path of the document inside a larger one, for error messages.
 
     Raises:
         InvalidInputError: With the path and the reason of the first fault, and a
@@ -233,7 +233,7 @@
 
 
 def parse_key(document: object) -> Key:
-    """Return the key of a document, which holds the hash of the secret."""
+    """Return the key of a document that contains the hash of the secret."""
     return parse(Key, document)
 
 
--- a/marjoramgrade/errors.py
+++ b/marjoramgrade/errors.py
@@ -48,13 +48,13 @@
 
 
 class InvalidInputError(MarjoramgradeError):
-    """Input from outside has the wrong form."""
+    """Input from outside the process has the wrong form."""
 
     code = "invalid_input"
 
 
 class OversizedInputError(InvalidInputError):
-    """Input from outside is larger than its bound."""
+    """Input from outside the process is larger than its bound."""
 
     code = "oversized_input"
 
--- a/marjoramgrade/store.py
+++ b/marjoramgrade/store.py
@@ -277,7 +277,7 @@
             CheckFailedError: If a job has changed; nothing was deleted.
             TableError: If the table did not respond.
         """
-        checks = {JOBS_PREFIX + job_id: v for job_id, v in version_by_id.items()}
+        checks = {JOBS_PREFIX + job: v for job, v in version_by_id.items()}
         await self._table.commit(Transaction(checks, dict.fromkeys(checks)))
 
     async def read_changed_grants(self, after: int) -> GrantsPage:
--- a/marjoramgrade/structuring.py
+++ b/marjoramgrade/structuring.py
@@ -32,7 +32,7 @@
 MAX_NAME_LENGTH = 64
 MAX_PROBLEMS = 20
 MAX_ECHO_LENGTH = 80  # an error must not repeat a long untrusted value in full
-# JSON numbers above 2**53 lose digits in readers that use floating point.
+# JSON numbers above 2**53 lose digits in parsers that use floating point.
 MAX_NUMBER = 2**53
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
@@ -86,7 +86,7 @@
     def check(value: Any, _: Any = None) -> str:
         if type(value) is not str:
             raise InvalidValueError("must be text")
-        # A character has at least one byte, so text with too many is not encoded.
+        # A character has at least one byte, so overlong text need not be encoded.
         if len(value) > max_bytes or len(_encode(value)) > max_bytes:
             raise InvalidValueError(f"must be at most {max_bytes} bytes long")
         return value
