--- a/marjoramgrade/logs.py
+++ b/marjoramgrade/logs.py
@@ -1,8 +1,8 @@
-"""Log lines: one JSON object for each decision and each change of state.
+"""Structured log: one line of JSON for each decision and each state change.
 
-A line tells what was decided about a request or a job, or that an instance, a
-worker, a zone or the configuration is in another state than before. The lines of
-each kind are bounded, and writing never waits for a reader.
+A line reports a decision about a request or a job, or a state change of an
+instance, a worker, a zone or the configuration. The rate of lines is limited for
+each event, and writing never blocks on a slow reader.
 """
 
 from __future__ import annotations
@@ -17,31 +17,33 @@
 
 from marjoramgrade import jsontext
 
-# Lines of one kind that are written in a second; a fault that touches every job or
-# worker would otherwise cost more than the work.
+# Limit for each event. Without it, logging a fault that affects every job or worker
+# would cost more than the work itself.
 MAX_LINES_PER_S = 40
-# Up to this size a pipe takes a line whole or not at all.
+# A write of up to this size to a pipe is atomic: all or nothing.
 MAX_LINE_BYTES = 4_000
 
 
 class Stream(Protocol):
-    """What lines are written to."""
+    """A text stream that log lines are written to."""
 
     def write(self, text: str, /) -> object:
-        """Take a text."""
+        """Write a text, possibly to a buffer."""
 
     def flush(self) -> object:
-        """Send what was taken."""
+        """Write out the buffer."""
 
 
 class DroppingStream:
-    """Writes lines to a file descriptor and drops those that it does not take.
+    """Writes lines to a file descriptor and drops those that would block.
+
+    Lines longer than `MAX_LINE_BYTES` are dropped too.
 
     Args:
-        descriptor: The file descriptor, which becomes non-blocking.
+        descriptor: The file descriptor, which is made non-blocking.
 
     Attributes:
-        dropped: How many lines were dropped.
+        dropped: Number of lines dropped so far.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -50,7 +52,7 @@
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Write a line, or drop it if the reader is too slow."""
+        """Write a line, or drop it if it is too long or the write would block."""
         data = text.encode()
         if len(data) > MAX_LINE_BYTES:
             self.dropped += 1
@@ -61,26 +63,33 @@
             self.dropped += 1
 
     def flush(self) -> None:
-        """Do nothing; lines are written at once."""
+        """Do nothing, since lines are not buffered."""
 
 
 @attrs.define
 class _LineBudget:
-    """How many lines of each kind this second has had."""
+    """Limits the rate of lines for each event.
+
+    Attributes:
+        second: The current second of the monotonic clock.
+        count_by_event: Lines in the current second, including suppressed ones.
+    """
 
     second: int = 0
     count_by_event: dict[str, int] = attrs.field(factory=dict)
 
-    def take(self, event: str) -> dict[str, int] | None:
-        """Take a line from the budget of its kind.
+    def spend(self, event: str) -> dict[str, int] | None:
+        """Count a line against the budget of its event.
 
         Returns:
-            None if it is used up, else what was left out in the second before.
+            None if the budget is used up and the line is to be suppressed. Otherwise
+            the number of suppressed lines by event that is still to be reported,
+            given to the first line of a new second.
         """
         second = int(time.monotonic())
-        left_out = {}
+        suppressed = {}
         if second != self.second:
-            left_out = {
+            suppressed = {
                 name: count - MAX_LINES_PER_S
                 for name, count in self.count_by_event.items()
                 if count > MAX_LINES_PER_S
@@ -89,7 +98,7 @@
             self.count_by_event.clear()
         count = self.count_by_event.get(event, 0) + 1
         self.count_by_event[event] = count
-        return left_out if count <= MAX_LINES_PER_S else None
+        return suppressed if count <= MAX_LINES_PER_S else None
 
 
 _budget = _LineBudget()
@@ -99,8 +108,8 @@
     """Send log lines to a stream.
 
     Args:
-        stream: Where lines go.
-        bound: Fields of every line, such as the id of the instance.
+        stream: Destination of the lines.
+        bound: Fields of every line, such as the instance id.
     """
     structlog.configure(
         processors=[
@@ -117,32 +126,34 @@
 
 
 def log_event(event: str, **fields: object) -> None:
-    """Write one line about a decision or a change of state.
+    """Write a line about a decision or state change, within the limit of its event.
 
     Args:
-        event: What changed, as a name in lower case such as `shard_taken`.
-        fields: The facts of the change; text, numbers, or flags.
+        event: Name of the decision or change in lower case, such as `shard_taken`.
+        fields: Details: texts, numbers or booleans.
     """
-    left_out = _budget.take(event)
-    if left_out is None:
+    suppressed = _budget.spend(event)
+    if suppressed is None:
         return
     logger = structlog.get_logger()
-    if left_out:
-        text = ",".join(f"{name}={count}" for name, count in left_out.items())
+    if suppressed:
+        text = ",".join(f"{name}={count}" for name, count in suppressed.items())
         logger.info("lines_left_out", counts=text)
     logger.info(event, **fields)
 
 
 def _serialize(value: Any, **_: Any) -> str:
-    return jsontext.serialize_text({key: _plain(part) for key, part in value.items()})
+    return jsontext.serialize_text(
+        {key: _to_json_value(field) for key, field in value.items()}
+    )
 
 
-def _plain(value: object) -> object:
+def _to_json_value(value: object) -> object:
     return value if isinstance(value, str | int | float | None) else str(value)
 
 
-class _LibraryErrors(logging.Handler):
-    """Turns errors that libraries log, such as a lost exception, into lines."""
+class _LibraryErrorHandler(logging.Handler):
+    """Logs the errors of libraries, such as unhandled exceptions, as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
         cause = record.exc_info[1] if record.exc_info else None
@@ -155,7 +166,9 @@
 
 
 def _route_library_errors() -> None:
-    # Tornado logs a line for each refused request; counters report those.
+    # Tornado logs each refused request; the counters report those already.
     logging.getLogger("tornado.access").setLevel(logging.CRITICAL)
     logging.getLogger("tornado.general").setLevel(logging.ERROR)
-    logging.basicConfig(level=logging.ERROR, handlers=[_LibraryErrors()], force=True)
+    logging.basicConfig(
+        level=logging.ERROR, handlers=[_LibraryErrorHandler()], force=True
+    )
--- a/marjoramgrade/metrics.py
+++ b/marjoramgrade/metrics.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and times, and the registry of their names.
+"""Counters, gauges and timings, and the registry of declared metrics.
 
-Every name is declared with its kind, unit and meaning; `docs/metrics.md` lists
-them. A name that ends in `.*` stands for a family, such as `refused.<code>`.
+Every metric is declared with its kind, unit and meaning; `docs/metrics.md` lists
+them all. A name that ends in `.*` declares a family, such as `refused.<code>`.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from marjoramgrade.errors import MarjoramgradeError, iter_error_types
 from marjoramgrade.registry import Registry
 
-# Bounds the samples that wait for a flush while the caller does not flush.
+# Bounds the memory for unsent timings when `flush` is not called.
 MAX_PENDING_TIMINGS = 10_000
 
 
 class MetricKind(enum.Enum):
-    """The kinds of metric that statsd knows."""
+    """The statsd metric types that are used."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -36,10 +36,10 @@
     """A declared metric.
 
     Attributes:
-        name: Its name, or the name of a family that ends in `.*`.
-        kind: Its kind.
-        unit: What one counts, in the plural or as a unit of measure.
-        meaning: What it says, in one sentence.
+        name: Name of the metric, or of a family if it ends in `.*`.
+        kind: Type of the metric.
+        unit: What is counted, in the plural, or the unit of measure.
+        meaning: Description in one sentence.
     """
 
     name: str
@@ -52,13 +52,13 @@
 
 
 def declare(name: str, kind: MetricKind, unit: str, meaning: str) -> Metric:
-    """Add a metric to the registry.
+    """Register a metric.
 
     Args:
-        name: Its name; a name that ends in `.*` declares a family.
-        kind: Its kind.
-        unit: What one counts.
-        meaning: What it says, in one sentence.
+        name: Name of the metric; a name that ends in `.*` declares a family.
+        kind: Type of the metric.
+        unit: What is counted, in the plural, or the unit of measure.
+        meaning: Description in one sentence.
     """
     return METRICS.register(name)(Metric(name, kind, unit, meaning))
 
@@ -135,11 +135,11 @@
 
 
 class Metrics(abc.ABC):
-    """Base class of metrics.
+    """Base class of the destinations of metrics.
 
     Attributes:
-        count_by_name: Every counter since the start of the process.
-        gauge_by_name: The latest value of every gauge.
+        count_by_name: Totals of the counters since the start of the process.
+        gauge_by_name: Latest values of the gauges.
     """
 
     def __init__(self) -> None:
@@ -165,7 +165,7 @@
         self.gauge_by_name[name] = value
 
     def timing(self, name: str, elapsed_ms: float) -> None:
-        """Record a time in milliseconds.
+        """Record a duration in milliseconds.
 
         Raises:
             UnknownNameError: If no timing of this name is declared.
@@ -174,33 +174,34 @@
         self.record_timing(name, elapsed_ms)
 
     def refused(self, error: MarjoramgradeError) -> None:
-        """Count a refusal under the code of its error."""
+        """Count a refused request or job under the code of its error."""
         known = any(kind.code == error.code for kind in iter_error_types())
-        # Another process chooses a foreign code, so it must not become a name.
+        # An unknown code was chosen by another process, which must not be able to
+        # create metrics.
         self.count(f"refused.{error.code if known else 'other'}")
 
     def retried(self, reason: str) -> None:
-        """Count another attempt under its reason."""
+        """Count a retry under its reason."""
         self.count(f"retried.{reason}")
 
     @abc.abstractmethod
     def record_timing(self, name: str, elapsed_ms: float) -> None:
-        """Keep or send a time; called by `timing`."""
+        """Store or send a duration; called by `timing` with a declared name."""
 
     @abc.abstractmethod
     def flush(self) -> None:
-        """Send what has changed since the last call."""
+        """Send the changes since the last flush."""
 
     def close(self) -> None:
-        """Send what is left and release the socket, if there is one."""
+        """Flush, and release the socket if there is one."""
         self.flush()
 
 
-# Also keeps the separators of the statsd protocol out of names.
+# Excludes the separators of the statsd protocol, among other characters.
 _MEMBER = re.compile(r"[a-z][a-z0-9_]{0,63}")
 
 
-# Metric names recur, and a look-up per count would cost more than the count.
+# Cached because names recur and a look-up would cost more than the count itself.
 @functools.cache
 def _kind_of(name: str) -> MetricKind:
     family, _, member = name.partition(".")
@@ -211,14 +212,14 @@
 
 def _check(name: str, kind: MetricKind) -> None:
     if _kind_of(name) is not kind:
-        raise ValueError(f"{name} is no {kind.value}")
+        raise ValueError(f"metric {name} is not a {kind.value}")
 
 
 class MemoryMetrics(Metrics):
-    """Metrics that stay in the process.
+    """Metrics that are stored in memory and not sent.
 
     Attributes:
-        timings_by_name: The recorded times in milliseconds.
+        timings_by_name: Recorded durations in milliseconds, oldest first.
     """
 
     def __init__(self) -> None:
@@ -226,23 +227,23 @@
         self.timings_by_name: dict[str, list[float]] = {}
 
     def record_timing(self, name: str, elapsed_ms: float) -> None:
-        """Keep a time."""
+        """Store a duration."""
         self.timings_by_name.setdefault(name, []).append(elapsed_ms)
 
     def flush(self) -> None:
-        """Do nothing."""
+        """Do nothing, since nothing is sent."""
 
 
 class StatsdMetrics(Metrics):
-    """Metrics that go to a statsd server over UDP.
+    """Metrics that are sent to a statsd server over UDP.
 
     Counts are summed in the process and sent by `flush`, since one datagram for
-    each of thousands of events a second would cost more than the events.
+    each of thousands of events per second would cost more than the events.
 
     Args:
-        host: IP number of the server.
+        host: IP address of the server.
         port: UDP port of the server.
-        prefix: What every name on the server starts with.
+        prefix: First component of every metric name on the server.
     """
 
     def __init__(self, host: str, port: int, prefix: str = "marjoramgrade") -> None:
@@ -252,12 +253,12 @@
         self._timings: list[tuple[str, float]] = []
 
     def record_timing(self, name: str, elapsed_ms: float) -> None:
-        """Keep a time until the next flush; beyond a bound it is dropped."""
+        """Store a duration until the next flush; drop it if too many are stored."""
         if len(self._timings) < MAX_PENDING_TIMINGS:
             self._timings.append((name, elapsed_ms))
 
     def flush(self) -> None:
-        """Send counts, gauges and times in as few datagrams as possible."""
+        """Send counts, gauges and timings in as few datagrams as possible."""
         with self._client.pipeline() as pipe:
             for name, total in self.count_by_name.items():
                 if total != self._sent_by_name[name]:
@@ -270,11 +271,11 @@
         self._timings.clear()
 
     def close(self) -> None:
-        """Send what is left and close the socket."""
+        """Flush and close the socket."""
         super().close()
         self._client.close()
 
 
 def from_config(host: str, port: int) -> Metrics:
-    """Return statsd metrics, or metrics in memory if no host is set."""
+    """Return statsd metrics, or metrics in memory if `host` is empty."""
     return StatsdMetrics(host, port) if host else MemoryMetrics()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 PACKAGE = pathlib.Path(logs.__file__).parent
 
 
-def lines_of(stream: io.StringIO) -> list[dict[str, object]]:
+def parse_lines(stream: io.StringIO) -> list[dict[str, object]]:
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
@@ -19,7 +19,7 @@
     stream = io.StringIO()
     logs.configure(stream, instance_id="leeds-entry-1")
     logs.log_event("shard_taken", shard="leeds.0", epoch=3, reason="a\nb")
-    (line,) = lines_of(stream)
+    (line,) = parse_lines(stream)
     assert line.pop("timestamp")
     assert line == {
         "event": "shard_taken",
@@ -31,17 +31,17 @@
 
 
 def test_library_errors_become_lines_and_access_lines_do_not() -> None:
-    """Guards against lost exceptions of tornado, and a line for each request."""
+    """Guards against unreported exceptions in tornado and a line for each request."""
     stream = io.StringIO()
     logs.configure(stream)
     logging.getLogger("tornado.access").error("500 GET /")
     logging.getLogger("tornado.application").error("uncaught %s", "thing")
-    (line,) = lines_of(stream)
+    (line,) = parse_lines(stream)
     assert (line["event"], line["message"]) == ("library_error", "uncaught thing")
 
 
 def test_only_this_module_logs() -> None:
-    """Guards against log lines outside the one helper for state changes."""
+    """Guards against log lines that bypass `log_event` and its rate limit."""
     logging_use = re.compile(r"^\s*(import|from) (logging|structlog)\b|\bprint\(", re.M)
     users = {
         path.name
@@ -52,7 +52,7 @@
 
 
 def test_lines_of_one_kind_are_bounded(monkeypatch):
-    # Guards against a fault that makes logging cost more than the work.
+    # Guards against a fault that makes logging cost more than the work itself.
     stream = io.StringIO()
     logs.configure(stream)
     monkeypatch.setattr(logs, "_budget", logs._LineBudget())
@@ -69,7 +69,7 @@
 
 
 def test_line_is_dropped_rather_than_waited_for():
-    # Guards against a process that stands still because nobody reads its lines.
+    # Guards against a process that blocks because nobody reads its log.
     reader, writer = os.pipe()
     stream = logs.DroppingStream(writer)
     for _ in range(100):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -18,7 +18,7 @@
 
 
 def test_the_page_and_the_registry_are_equal() -> None:
-    """Guards against metrics that nobody can look up, and pages about no metric."""
+    """Guards against undocumented metrics and documented ones that do not exist."""
     for module in pkgutil.walk_packages(marjoramgrade.__path__, "marjoramgrade."):
         if not module.name.endswith("__main__"):
             importlib.import_module(module.name)
@@ -32,13 +32,13 @@
 
 
 def test_refusals_and_retries_are_counted_by_code_and_reason() -> None:
-    """Guards against refusals that no counter shows."""
-    counted: Metrics = MemoryMetrics()
-    counted.refused(OverLimitError("no room"))
-    counted.refused(OverLimitError("no room"))
-    counted.refused(from_code("chosen:by\nothers", "", {}))
-    counted.retried("worker_lost")
-    assert counted.count_by_name == {
+    """Guards against refusals and retries that no counter reports."""
+    recorded: Metrics = MemoryMetrics()
+    recorded.refused(OverLimitError("over the limit"))
+    recorded.refused(OverLimitError("over the limit"))
+    recorded.refused(from_code("chosen:by\nothers", "", {}))
+    recorded.retried("worker_lost")
+    assert recorded.count_by_name == {
         "refused.over_limit": 2,
         "refused.other": 1,
         "retried.worker_lost": 1,
@@ -47,37 +47,37 @@
 
 @pytest.mark.parametrize("name", ["nosuch", "refused.", "refused.a:1|c", "refused"])
 def test_a_name_that_is_not_declared_is_an_error(name: str) -> None:
-    """Guards against misspelt metrics that are never shown."""
+    """Guards against counts that are lost because a name is misspelt."""
     with pytest.raises(UnknownNameError):
         MemoryMetrics().count(name)
 
 
 def test_a_metric_of_another_kind_is_an_error() -> None:
-    """Guards against a gauge that is added up as a counter."""
-    with pytest.raises(ValueError, match="no gauge"):
+    """Guards against a counter that is set as a gauge."""
+    with pytest.raises(ValueError, match="is not a gauge"):
         MemoryMetrics().gauge("refused.overloaded", 1)
 
 
 def test_statsd_gets_sums_once() -> None:
-    """Guards against counts that are lost or sent twice, and against floods."""
+    """Guards against lost or repeated counts, and one datagram for each event."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.settimeout(5)
-        sent = StatsdMetrics("127.0.0.1", server.getsockname()[1])
+        statsd = StatsdMetrics("127.0.0.1", server.getsockname()[1])
         for _ in range(3):
-            sent.retried("slow")
-        sent.timing(LATENCY.name, 2)
-        sent.flush()
+            statsd.retried("slow")
+        statsd.timing(LATENCY.name, 2)
+        statsd.flush()
         lines = server.recv(2048).decode().splitlines()
         assert lines == [
             "marjoramgrade.retried.slow:3|c",
             "marjoramgrade.test_latency:2.000000|ms",
         ]
-        sent.retried("slow")
-        sent.close()
+        statsd.retried("slow")
+        statsd.close()
         assert server.recv(2048) == b"marjoramgrade.retried.slow:1|c"
 
 
 def test_no_statsd_host_means_metrics_in_memory() -> None:
-    """Guards against datagrams to an empty address."""
+    """Guards against datagrams that are sent to an empty address."""
     assert isinstance(metrics.from_config("", 8125), MemoryMetrics)
