--- a/marjoramgrade/cli.py
+++ b/marjoramgrade/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command-line interface."""
 
 from __future__ import annotations
 
@@ -20,32 +20,34 @@
     add_completion=False,
     pretty_exceptions_enable=False,
 )
-for _part in (daemon.app, resources.app, work.app, operations.app):
-    app.add_typer(_part)
+for _group in (daemon.app, resources.app, work.app, operations.app):
+    app.add_typer(_group)
 
 
 @app.callback()
 def options(
     context: typer.Context,
     url: Annotated[
-        str, typer.Option(envvar="MARJORAMGRADE_URL", help="The entry instance.")
+        str, typer.Option(envvar="MARJORAMGRADE_URL", help="URL of the entry instance.")
     ] = DEFAULT_URL,
     key_file: Annotated[
         pathlib.Path | None,
-        typer.Option(envvar="MARJORAMGRADE_KEY_FILE", help="File with the secret."),
+        typer.Option(
+            envvar="MARJORAMGRADE_KEY_FILE", help="File with the secret of the key."
+        ),
     ] = None,
     output: Annotated[
         str, typer.Option(help=f"One of {', '.join(OUTPUT_FORMATS.iter_names())}.")
     ] = "table",
 ) -> None:
-    """Take over the options that all commands share."""
+    """Create the session from the options that all commands share."""
     session = Session(
         url, "", output if output in OUTPUT_FORMATS.iter_names() else "table"
     )
     with session.exit_on_error():
         OUTPUT_FORMATS.get(output)
-        # Other users of a machine can read the arguments of a process, so the
-        # secret comes from a file.
+        # The secret is read from a file, because other users of the machine can see
+        # the arguments of a process.
         secret = _read_secret(key_file) if key_file is not None else ""
     context.obj = Session(_check_url(session, url), secret, output)
 
@@ -56,7 +58,7 @@
     except UnicodeDecodeError:
         secret = ""
     if not secret.isprintable() or not secret:
-        raise InvalidInputError(f"{path} holds no secret")
+        raise InvalidInputError(f"{path} must hold a secret in printable ASCII")
     return secret
 
 
--- a/marjoramgrade/deployment.py
+++ b/marjoramgrade/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment file: all entry instances of a cell and its first resources."""
+"""A deployment file: the entry instances of a cell and its initial resources."""
 
 from __future__ import annotations
 
@@ -37,7 +37,10 @@
 
 @attrs.frozen
 class EntrySpec:
-    """One entry instance: what differs between the instances of a cell."""
+    """The settings that differ between the entry instances of a cell.
+
+    The fields have the same meaning as in `EntrySettings`.
+    """
 
     instance_id: str
     zone: str
@@ -51,9 +54,9 @@
     """The workers of a cell.
 
     Attributes:
-        count: Number of workers over all zones.
-        per_rack: Workers in one rack.
-        capacity: What each worker offers.
+        count: Number of workers in all zones together.
+        per_rack: Number of workers in one rack.
+        capacity: Resources of each worker.
     """
 
     count: int
@@ -66,10 +69,10 @@
     """The backend servers of one service, each with one runner.
 
     Attributes:
-        service: The service that they run.
-        count: Number of backend servers over all zones.
-        slots: Requests that one runner handles at a time.
-        connections: Connections that one runner takes.
+        service: Name of the service that they run.
+        count: Number of backend servers in all zones together.
+        slots: Number of requests that one runner handles concurrently.
+        connections: Number of connections that one runner accepts.
     """
 
     service: str
@@ -80,18 +83,18 @@
 
 @attrs.frozen
 class Deployment:
-    """Everything that is decided about a cell before it starts.
+    """The configuration of a cell that is set before it starts.
 
     Attributes:
         name: Name of the cell.
-        title: The organisation and its site, for people.
-        settings: Settings that all entry instances share, by field name.
+        title: Human-readable name of the organisation and its site.
+        settings: Settings shared by all entry instances, by field name.
         entries: The entry instances.
         zones: The availability zones.
-        teams: The first teams.
-        services: The first services.
-        workers: Sizes of the workers.
-        backends: Sizes of the backend servers.
+        teams: The initial teams.
+        services: The initial services.
+        workers: Number and size of the workers.
+        backends: Number and size of the backend servers of each service.
     """
 
     name: str
@@ -105,7 +108,7 @@
     backends: tuple[BackendsSpec, ...] = ()
 
 
-_OWN_FIELDS = frozenset(field.name for field in attrs.fields(EntrySpec))
+_ENTRY_FIELDS = frozenset(field.name for field in attrs.fields(EntrySpec))
 
 
 def _shared_settings(value: Any, _: Any = None) -> dict[str, Any]:
@@ -115,7 +118,7 @@
 
 
 def _entry_hooks() -> dict[str, StructHook]:
-    hooks = {f: settingsfile.SETTINGS_HOOKS[f] for f in _OWN_FIELDS}
+    hooks = {field: settingsfile.SETTINGS_HOOKS[field] for field in _ENTRY_FIELDS}
     return {**hooks, "host": ip_address()}
 
 
@@ -156,7 +159,7 @@
 
 
 def parse_deployment(document: object) -> Deployment:
-    """Return the deployment that a document holds.
+    """Return the deployment in a document.
 
     Raises:
         SettingsError: With every fault.
@@ -188,21 +191,21 @@
     """Return the settings of one entry instance of a deployment.
 
     Raises:
-        NotFoundError: If the deployment has no such instance.
+        NotFoundError: If the deployment does not list the instance.
         SettingsError: If the shared settings have faults.
     """
-    for plan in deployment.entries:
-        if plan.instance_id == instance_id:
-            document = {**deployment.settings, **attrs.asdict(plan)}
+    for entry in deployment.entries:
+        if entry.instance_id == instance_id:
+            document = {**deployment.settings, **attrs.asdict(entry)}
             return settingsfile.parse_entry_settings(document, names)
     raise NotFoundError(
         f"{deployment.name} has no entry instance {instance_id!r}",
-        known=", ".join(plan.instance_id for plan in deployment.entries),
+        known=", ".join(entry.instance_id for entry in deployment.entries),
     )
 
 
 def serialize_seed(deployment: Deployment) -> dict[str, Any]:
-    """Return the first teams, zones and services, as `apply` reads them."""
+    """Return the initial teams, zones and services in the format of `apply`."""
     return {
         "teams": [documents.serialize_team(team) for team in deployment.teams],
         "zones": [documents.serialize_zone(zone) for zone in deployment.zones],
@@ -215,12 +218,16 @@
     teams = {team.name for team in deployment.teams}
     services = {service.name for service in deployment.services}
     entries = deployment.entries
-    yield from _iter_repeats("entries", (e.instance_id for e in entries), "instance_id")
-    yield from _iter_repeats("entries", ((e.host, e.http_port) for e in entries))
-    yield from _iter_repeats("entries", ((e.host, e.peer_port) for e in entries))
-    yield from _iter_repeats("zones", (z.name for z in deployment.zones), "name")
-    yield from _iter_repeats("teams", (t.name for t in deployment.teams), "name")
-    yield from _iter_repeats("services", (s.name for s in deployment.services), "name")
+    yield from _iter_duplicates(
+        "entries", (e.instance_id for e in entries), "instance_id"
+    )
+    yield from _iter_duplicates("entries", ((e.host, e.http_port) for e in entries))
+    yield from _iter_duplicates("entries", ((e.host, e.peer_port) for e in entries))
+    yield from _iter_duplicates("zones", (z.name for z in deployment.zones), "name")
+    yield from _iter_duplicates("teams", (t.name for t in deployment.teams), "name")
+    yield from _iter_duplicates(
+        "services", (s.name for s in deployment.services), "name"
+    )
     for index, entry in enumerate(entries):
         if entry.zone not in zones:
             yield Problem(f"entries[{index}].zone", "is not one of the zones")
@@ -233,11 +240,11 @@
     for index, backend in enumerate(deployment.backends):
         if backend.service not in services:
             yield Problem(f"backends[{index}].service", "is not one of the services")
-    for field in sorted(_OWN_FIELDS & deployment.settings.keys()):
-        yield Problem(f"settings.{field}", "belongs to each of the entries")
+    for field in sorted(_ENTRY_FIELDS & deployment.settings.keys()):
+        yield Problem(f"settings.{field}", "must be set in each of the entries instead")
 
 
-def _iter_repeats(
+def _iter_duplicates(
     path: str, values: Iterable[Hashable], field: str = "host"
 ) -> Iterator[Problem]:
     seen: collections.Counter[Hashable] = collections.Counter()
--- a/marjoramgrade/exposition.py
+++ b/marjoramgrade/exposition.py
@@ -1,7 +1,7 @@
-"""Metrics that are read over HTTP in the usual text format.
+"""Metrics exposed over HTTP in the Prometheus text format.
 
-The library that renders them is imported at the first fetch, because its import takes
-a tenth of the start of an instance, during which its callers wait.
+`prometheus_client` is imported at the first scrape, because its import takes a tenth
+of the startup time of an instance, during which its clients wait.
 """
 
 from __future__ import annotations
@@ -20,25 +20,30 @@
     from prometheus_client import Metric
 
 PREFIX = "marjoramgrade_"
-# From one hop between instances to the longest job, in milliseconds.
+# Upper bounds, from the time of one hop between instances to that of the longest job.
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 15_000, 60_000)
 PATH = "/metrics"
 
 
 @attrs.define
-class _Times:
-    """The times of one name: how many lie below each bound, and their sum."""
+class _Histogram:
+    """Histogram of the durations of one metric.
+
+    Attributes:
+        counts: Number of durations in each bucket; the last bucket has no bound.
+        total_ms: Sum of the durations.
+    """
 
     counts: list[int] = attrs.field(factory=lambda: [0] * (len(BUCKETS_MS) + 1))
     total_ms: float = 0.0
 
     def add(self, elapsed_ms: float) -> None:
-        """Count a time under the lowest bound that it does not exceed."""
+        """Count a duration in the lowest bucket whose bound it does not exceed."""
         self.counts[bisect.bisect_left(BUCKETS_MS, elapsed_ms)] += 1
         self.total_ms += elapsed_ms
 
-    def cumulative(self) -> list[tuple[str, float]]:
-        """Return for each bound how many times do not exceed it."""
+    def cumulative_buckets(self) -> list[tuple[str, float]]:
+        """Return for each bound how many durations do not exceed it."""
         bounds = [str(float(bound)) for bound in BUCKETS_MS] + ["+Inf"]
         return [
             (bound, float(sum(self.counts[: position + 1])))
@@ -47,30 +52,30 @@
 
 
 class PrometheusMetrics(Metrics):
-    """Counters, gauges and latency histograms that others fetch."""
+    """Counters, gauges and latency histograms for a Prometheus server to scrape."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._times_by_name: dict[str, _Times] = {}
+        self._histogram_by_name: dict[str, _Histogram] = {}
 
     def record_timing(self, name: str, elapsed_ms: float) -> None:
-        """Count a time in its histogram."""
-        self._times_by_name.setdefault(name, _Times()).add(elapsed_ms)
+        """Add a duration to its histogram."""
+        self._histogram_by_name.setdefault(name, _Histogram()).add(elapsed_ms)
 
     def flush(self) -> None:
-        """Do nothing; metrics are fetched."""
+        """Do nothing, since metrics are scraped and not sent."""
 
     def render(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry(auto_describe=False)
-        # The registry only asks for `collect`, which this class provides.
+        # The registry accepts any object that has a `collect` method.
         registry.register(self)
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield each counter, the members of a family by label, gauges and times."""
+        """Yield counters, gauges and histograms; a label names members of a family."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
@@ -88,19 +93,19 @@
         yield from families.values()
         for name, value in sorted(self.gauge_by_name.items()):
             yield GaugeMetricFamily(f"{PREFIX}{name}", name, value)
-        for name, times in sorted(self._times_by_name.items()):
+        for name, histogram in sorted(self._histogram_by_name.items()):
             yield HistogramMetricFamily(
                 f"{PREFIX}{name}_ms",
                 f"{name} in milliseconds",
-                buckets=times.cumulative(),
-                sum_value=times.total_ms,
+                buckets=histogram.cumulative_buckets(),
+                sum_value=histogram.total_ms,
             )
 
     def make_server(self) -> HTTPServer:
-        """Return the server of the metrics, not yet listening."""
-        return HTTPServer(self._answer)
+        """Return the HTTP server of the metrics, not yet listening."""
+        return HTTPServer(self._respond)
 
-    def _answer(self, request: HTTPServerRequest) -> None:
+    def _respond(self, request: HTTPServerRequest) -> None:
         connection: Any = request.connection
         if connection is None:
             return
@@ -115,5 +120,7 @@
         written = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""), headers, body
         )
-        written.add_done_callback(lambda done: done.cancelled() or done.exception())
+        written.add_done_callback(
+            lambda future: future.cancelled() or future.exception()
+        )
         connection.finish()
--- a/marjoramgrade/resourcekinds.py
+++ b/marjoramgrade/resourcekinds.py
@@ -1,4 +1,4 @@
-"""The types of configured resource, by their plural name in URLs and files."""
+"""Registry of the configured resource types, by their plural name."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class KeySummary:
-    """A key as callers see it: without the hash of its secret."""
+    """A key as clients see it, without the hash of its secret."""
 
     name: str
     team: str
@@ -29,12 +29,12 @@
 
 @attrs.frozen
 class ResourceKind(Generic[T]):
-    """How one type of resource travels.
+    """A type of resource and its conversion from and to documents.
 
     Attributes:
-        plural: Its name in URLs and in files of resources.
-        parse: Returns the resource of a document.
-        serialize: Returns the document of a resource.
+        plural: Plural name in URLs and in resource files.
+        parse: Converts a document to a resource.
+        serialize: Converts a resource to a document.
     """
 
     plural: str
@@ -51,7 +51,7 @@
 
 
 def parse_key_summary(document: object) -> KeySummary:
-    """Return the key summary of a document."""
+    """Return the key summary in a document."""
     return documents.parse(KeySummary, document)
 
 
--- a/marjoramgrade/settings.py
+++ b/marjoramgrade/settings.py
@@ -21,7 +21,14 @@
 
 @attrs.frozen
 class PolicyNames:
-    """Names of the policies of one kind of work, looked up in registries."""
+    """Names of the registered policies that one kind of work uses.
+
+    Attributes:
+        queue_order: Chooses the team whose first waiting task is tried next.
+        placement: Chooses the worker for a task.
+        preemption: Chooses the running tasks to preempt.
+        retry: Chooses the delay before the next attempt of a failed task.
+    """
 
     queue_order: str = "weighted_drf"
     placement: str = "best_fit"
@@ -35,27 +42,27 @@
 
 @attrs.frozen
 class EntrySettings:
-    """Everything an entry instance learns at its start.
+    """Settings that an entry instance reads at its start.
 
     Attributes:
         instance_id: Unique id of this instance, never reused.
         zone: Its availability zone.
-        host: IP number that it listens on.
-        http_port: TCP port for callers and operators.
+        host: IP address to listen on.
+        http_port: TCP port for clients and operators.
         peer_port: TCP port for other entry instances.
         platform_url: Base URL of the platform's services.
-        shards_per_zone: Shards into which the instances of a zone are split.
-        statsd_host: IP number of the statsd server, or empty for none.
+        shards_per_zone: Number of shards among which the instances of a zone are split.
+        statsd_host: IP address of the statsd server, or empty for none.
         statsd_port: UDP port of the statsd server.
         operator_key_sha256: SHA-256 of the operators' key in hexadecimal; if empty,
             operations that need it are refused.
-        max_body_bytes: Largest request body that is taken.
-        max_queued_requests: Requests that may wait in one shard.
+        max_body_bytes: Largest accepted request body.
+        max_queued_requests: Largest number of requests queued in one shard.
         ended_job_retention_ms: Time after which the row of an ended job is deleted;
-            its id may be used again from then on.
+            its id may then be reused.
         shutdown_ms: Longest time that a shutdown waits for running requests.
-        filters: Names of the request filters, in order.
-        policies_by_kind: Policies of each kind of work.
+        filters: Names of the request filters in the order of the chain.
+        policies_by_kind: Names of the policies for each kind of work.
     """
 
     instance_id: str
--- a/marjoramgrade/settingsfile.py
+++ b/marjoramgrade/settingsfile.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance as a JSON file."""
+"""Reads and serializes the settings of an entry instance as JSON."""
 
 from __future__ import annotations
 
@@ -61,7 +61,8 @@
 
     Attributes:
         filters: Names of request filters.
-        policies_by_field: For each field of `PolicyNames`, the names of its registry.
+        policies_by_field: Names of the registered policies for each field of
+            `PolicyNames`.
     """
 
     filters: Collection[str]
@@ -71,25 +72,25 @@
     def from_registries(
         cls, filters: Registry[Any], **registry_by_field: Registry[Any]
     ) -> KnownNames:
-        """Return the names in registries.
+        """Return the names that registries hold.
 
         Args:
             filters: The registry of request filters.
-            registry_by_field: The registry of each field of `PolicyNames`, all given.
+            registry_by_field: The registry for each field of `PolicyNames`.
 
         Raises:
-            TypeError: If a field of `PolicyNames` has no registry here.
+            TypeError: If a field of `PolicyNames` is missing or a field is unknown.
         """
         fields = {field.name for field in attrs.fields(PolicyNames)}
         if fields != set(registry_by_field):
-            raise TypeError(f"registries are needed for exactly {sorted(fields)}")
+            raise TypeError(f"expected one registry for each of {sorted(fields)}")
         names = {field: list(r.iter_names()) for field, r in registry_by_field.items()}
         return cls(list(filters.iter_names()), names)
 
 
 def one_of(known: Collection[str]) -> StructHook:
-    """Return a hook for a name that a registry holds."""
-    listed = ", ".join(sorted(known)) or "nothing is registered"
+    """Return a hook that accepts only the known names."""
+    listed = ", ".join(sorted(known)) or "(nothing is registered)"
 
     def check(value: Any, _: Any = None) -> str:
         if type(value) is not str or value not in known:
@@ -107,15 +108,15 @@
     register_class(
         converter, PolicyNames, {field: one_of(known[field]) for field in known}
     )
-    list_hooks = {
-        "filters": _filters(names),
+    collection_hooks = {
+        "filters": _filters_hook(names),
         "policies_by_kind": policies_hook(converter),
     }
-    register_class(converter, EntrySettings, {**SETTINGS_HOOKS, **list_hooks})
+    register_class(converter, EntrySettings, {**SETTINGS_HOOKS, **collection_hooks})
     return converter
 
 
-def _filters(names: KnownNames) -> StructHook:
+def _filters_hook(names: KnownNames) -> StructHook:
     known = one_of(names.filters)
 
     def check(value: Any, _: Any = None) -> tuple[str, ...]:
@@ -123,14 +124,14 @@
             raise InvalidValueError("must be a list")
         checked = tuple(known(entry, str) for entry in value)
         if len(set(checked)) != len(checked):
-            raise InvalidValueError("must not name a filter twice")
+            raise InvalidValueError("must not list a filter twice")
         return checked
 
     return check
 
 
 def policies_hook(converter: Converter) -> StructHook:
-    """Return a hook that gives kinds of work left out their default policies."""
+    """Return a hook that adds default policies for the kinds of work left out."""
 
     def check(value: Any, _: Any = None) -> Mapping[JobKind, PolicyNames]:
         if type(value) is not dict:
@@ -142,24 +143,24 @@
 
 
 def settings_error(problems: Iterable[structuring.Problem]) -> SettingsError:
-    """Return the typed error for faults in a settings or deployment document."""
+    """Return an error that lists the faults of a settings or deployment document."""
     return SettingsError([SettingsProblem(p.path, p.reason) for p in problems])
 
 
 def find_all_problems(error: Exception) -> list[structuring.Problem]:
-    """Return every fault behind an exception of a converter, up to a bound."""
+    """Return the faults that a converter found, up to `MAX_PROBLEMS`."""
     return structuring.find_problems(error, limit=MAX_PROBLEMS)
 
 
 def parse_entry_settings(document: object, names: KnownNames) -> EntrySettings:
-    """Return the settings that a document holds.
+    """Return the settings in a document.
 
     Args:
-        document: What a JSON reader returned.
-        names: The filters and policies that exist.
+        document: The parsed JSON value.
+        names: Names of the registered filters and policies.
 
     Raises:
-        SettingsError: With every fault; nothing of the document is used then.
+        SettingsError: With every fault. No part of the document is used then.
     """
     converter = make_settings_converter(names)
     try:
@@ -173,7 +174,7 @@
 
 
 def serialize_entry_settings(settings: EntrySettings) -> dict[str, Any]:
-    """Return the document of settings."""
+    """Return settings as a JSON document."""
     document = attrs.asdict(settings, recurse=False)
     document["filters"] = list(settings.filters)
     document["policies_by_kind"] = {
@@ -184,10 +185,10 @@
 
 
 def read_document(path: pathlib.Path) -> Any:
-    """Return what a JSON file holds.
+    """Return the parsed content of a JSON file.
 
     Raises:
-        SettingsError: If the file cannot be read or holds no JSON.
+        SettingsError: If the file cannot be read, is too large or is not valid JSON.
     """
     try:
         with path.open("rb") as file:
