--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -33,40 +33,44 @@
     return result
 
 
-def call(
+def run_command(
     *arguments: str, answers: list[Answer], stdin: str = ""
 ) -> tuple[Result, list[tuple[str | None, str | None, str | None]]]:
-    """Run a command against a server; return its result and what it sent."""
+    """Run a command against a scripted server.
+
+    Returns:
+        The result, and the method, URI and If-Match header of each request.
+    """
     results: list[Result] = []
 
-    async def work(server: ScriptedServer) -> None:
-        def in_thread() -> Result:
+    async def run_client(server: ScriptedServer) -> None:
+        def invoke_in_thread() -> Result:
             return invoke(*arguments, url=server.url, stdin=stdin)
 
-        results.append(await asyncio.to_thread(in_thread))
+        results.append(await asyncio.to_thread(invoke_in_thread))
 
-    server = run(work, *answers)
+    server = run(run_client, *answers)
     sent = [(r.method, r.uri, r.headers.get("If-Match")) for r in server.requests]
     return results[0], sent
 
 
 @pytest.fixture
 def entry(monkeypatch: pytest.MonkeyPatch) -> list[object]:
-    """Keep the daemon from running; returns the settings that it was given."""
+    """Replace the daemon by a list of the settings that it is started with."""
     started: list[object] = []
     monkeypatch.setattr("marjoramgrade.entry.run", started.append)
     return started
 
 
 def test_a_list_is_a_table_for_people_and_json_for_programs() -> None:
-    """Guards against output that a program must take apart."""
+    """Guards against programs that have to parse a table."""
     teams = {"version": 3, "items": [{"name": "a", "share": 5}]}
-    table, _ = call("get", "teams", answers=[says(teams)])
+    table, _ = run_command("get", "teams", answers=[says(teams)])
     assert table.exit_code == 0
     header, row = table.stdout.splitlines()
     assert header.split() == ["NAME", "SHARE", "LIMIT", "QUEUE_BOUND"]
     assert row.split() == ["a", "5", "none", "100000"]
-    shown, _ = call("--output", "json", "get", "teams", answers=[says(teams)])
+    shown, _ = run_command("--output", "json", "get", "teams", answers=[says(teams)])
     assert json.loads(shown.stdout)["items"][0]["share"] == 5
 
 
@@ -83,15 +87,15 @@
 )
 def test_exit_codes_tell_failures_apart(answer: Answer, code: int) -> None:
     """Guards against scripts that repeat work whose outcome is unknown."""
-    result, _ = call("cancel", "j1", answers=[answer])
+    result, _ = run_command("cancel", "j1", answers=[answer])
     assert result.exit_code == code
     assert result.stdout == ""
-    shown, _ = call("--output", "json", "cancel", "j1", answers=[answer])
+    shown, _ = run_command("--output", "json", "cancel", "j1", answers=[answer])
     assert json.loads(shown.stderr)["error"]["code"]
 
 
 def test_an_absent_server_and_a_wrong_usage_have_their_codes() -> None:
-    """Guards against an absent server that looks like refused work."""
+    """Guards against an unreachable server that is reported as refused work."""
     assert invoke("get", "teams").exit_code == 3
     for arguments in (["get", "nosuch"], ["frobnicate"], ["--output", "xml", "status"]):
         assert invoke(*arguments).exit_code == 2
@@ -101,17 +105,17 @@
 
 @pytest.mark.parametrize("kind", errors.iter_error_types())
 def test_every_error_has_an_exit_code(kind: type[errors.MarjoramgradeError]) -> None:
-    """Guards against a failure that exits with success."""
+    """Guards against a failed command that exits with 0."""
     assert exit_code_of(kind.from_report("", {})) != 0
 
 
 def test_apply_creates_changes_and_leaves_alone() -> None:
-    """Guards against changes that overwrite what somebody else has changed."""
-    wanted = {
+    """Guards against writes that overwrite a concurrent change."""
+    document = {
         "teams": [{"name": "new"}, {"name": "old", "share": 2}],
         "zones": [{"name": "leeds"}],
     }
-    result, sent = call(
+    result, sent = run_command(
         "apply",
         "-",
         answers=[
@@ -121,7 +125,7 @@
             says({}, version=8),
             says(ZONE, version=2),
         ],
-        stdin=json.dumps(wanted),
+        stdin=json.dumps(document),
     )
     assert result.exit_code == 0
     rows = [line.split()[1:3] for line in result.stdout.splitlines()[1:]]
@@ -134,15 +138,15 @@
     "document", ['{"teams": [{"name": "a"}, {"name": 1}]}', '{"keys": []}', "[]", "{"]
 )
 def test_apply_sends_nothing_of_a_file_with_a_fault(document: str) -> None:
-    """Guards against a file of which one half is in force."""
-    result, sent = call("apply", "-", answers=[], stdin=document)
+    """Guards against a file that is applied only in part."""
+    result, sent = run_command("apply", "-", answers=[], stdin=document)
     assert (result.exit_code, sent) == (2, [])
 
 
 def test_a_zone_move_tells_which_zones_have_it_in_force() -> None:
-    """Guards against operators who cut power before all zones have the version."""
+    """Guards against operators who cut power before all zones apply the version."""
     zones = {"version": 9, "items": [ZONE, {"name": "hull", "state": "in"}]}
-    result, sent = call(
+    result, sent = run_command(
         "zone-out",
         "leeds",
         answers=[
@@ -156,13 +160,13 @@
     )
     assert result.exit_code == 0
     assert ("PUT", "/v1/zones/leeds", "4") in sent
-    told = [line for line in result.stderr.splitlines() if "in force" in line]
-    assert [line.split()[-1] for line in told] == ["leeds", "hull"]
+    confirmations = [line for line in result.stderr.splitlines() if "in force" in line]
+    assert [line.split()[-1] for line in confirmations] == ["leeds", "hull"]
 
 
 def test_a_change_that_a_zone_does_not_confirm_is_unknown_there() -> None:
-    """Guards against success for a key that a cut-off zone may still accept."""
-    result, _ = call(
+    """Guards against exit code 0 while a cut-off zone may still accept the key."""
+    result, _ = run_command(
         "withdraw-key",
         "k",
         "--wait-ms",
@@ -174,30 +178,32 @@
 
 
 def test_a_job_is_submitted_and_awaited() -> None:
-    """Guards against success for a job that failed."""
-    failed = {**JOB, "outcomes": "df", "state": "failed"}
+    """Guards against exit code 0 for a failed job."""
+    failed_job = {**JOB, "outcomes": "df", "state": "failed"}
     spec = json.dumps(JOB["spec"])
     arguments = ["submit", "-", "--wait-ms", "5000"]
-    opened = {**JOB, "outcomes": "..", "state": "open"}
-    answers = [says(opened, status=201), says(failed)]
-    result, _ = call(*arguments, answers=answers, stdin=spec)
+    open_job = {**JOB, "outcomes": "..", "state": "open"}
+    answers = [says(open_job, status=201), says(failed_job)]
+    result, _ = run_command(*arguments, answers=answers, stdin=spec)
     assert result.exit_code == 1
     assert "2/2" in result.stdout
-    result, _ = call(*arguments, answers=[says(JOB)], stdin=spec)
+    result, _ = run_command(*arguments, answers=[says(JOB)], stdin=spec)
     assert result.exit_code == 0
 
 
 def test_a_request_writes_the_answer_as_it_came() -> None:
-    """Guards against answers that the command line changes."""
-    result, sent = call("request", "svc", answers=[says(b"\x00\xff\n")], stdin="in")
+    """Guards against a command that changes the response body."""
+    result, sent = run_command(
+        "request", "svc", answers=[says(b"\x00\xff\n")], stdin="in"
+    )
     assert result.stdout_bytes == b"\x00\xff\n"
     assert sent[0][:2] == ("POST", "/v1/run/svc")
 
 
 def test_watch_shows_changes_and_tells_of_a_gap() -> None:
-    """Guards against a watch that hides that it has missed changes."""
+    """Guards against a watch that does not report that it missed changes."""
     change = {"version": 5, "kind": "job", "name": "j1", "document": JOB}
-    result, _ = call(
+    result, _ = run_command(
         "--output",
         "json",
         "watch",
@@ -218,7 +224,7 @@
 def test_a_watch_that_ends_leaves_no_traceback(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against a traceback on the screen of whoever ends a watch."""
+    """Guards against a traceback in the terminal when a watch ends."""
     change = {"version": 5, "kind": "job", "name": "j1", "document": JOB}
 
     async def stay_open(handler: RequestHandler) -> None:
@@ -229,9 +235,11 @@
         await closed.wait()
         handler._finished = True
 
-    result, _ = call("watch", "--after", "1", "--count", "1", answers=[stay_open])
+    result, _ = run_command(
+        "watch", "--after", "1", "--count", "1", answers=[stay_open]
+    )
     assert result.exit_code == 0
-    # Exceptions that nobody looked at are logged when they are collected.
+    # asyncio logs unretrieved exceptions when their futures are garbage-collected.
     gc.collect()
     loggers = {record.name for record in caplog.records}
     assert not loggers & {"tornado.application", "asyncio"}
@@ -240,10 +248,10 @@
 def test_a_granted_secret_is_shown_once_and_read_from_a_file(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Guards against secrets in the arguments of a process."""
+    """Guards against secrets that other users see in the arguments of a process."""
     path = tmp_path / "key"
     path.write_text("operator-secret\n")
-    result, _ = call(
+    result, _ = run_command(
         "--key-file",
         str(path),
         "grant-key",
@@ -257,7 +265,7 @@
 def test_settings_are_rendered_checked_and_run(
     entry: list[object], tmp_path: pathlib.Path
 ) -> None:
-    """Guards against a deployment that the daemon cannot read."""
+    """Guards against rendered settings that the daemon cannot read."""
     path = tmp_path / "entry.json"
     cell = str(DEPLOY_FOLDER / "ledgerwell.json")
     rendered = invoke("settings", "render", cell, "--instance", "leeds-entry-1")
@@ -272,16 +280,16 @@
 
 
 def test_a_seed_applies(entry: list[object]) -> None:
-    """Guards against a seed that `apply` refuses."""
+    """Guards against a seed that `apply` rejects."""
     seed = invoke("settings", "seed", str(DEPLOY_FOLDER / "kelani-basin.json")).stdout
     count = 6 + 3 + 1
     answers = [fails("not_found", 404), says({}, version=1)] * count
-    result, sent = call("apply", "-", answers=answers, stdin=seed)
+    result, sent = run_command("apply", "-", answers=answers, stdin=seed)
     assert (result.exit_code, len(sent)) == (0, 2 * count)
 
 
 def test_text_from_others_cannot_control_the_terminal() -> None:
-    """Guards against a job's reason that rewrites an operator's screen."""
+    """Guards against escape sequences in a job's reason that control the terminal."""
     assert sanitize_text("\x1b[2Jx\n", 10) == "?[2Jx?"
     assert len(sanitize_text("x" * 100, 10)) == 10
     assert list(align_columns([["a", "bb"], ["ccc", "d"]])) == ["a    bb", "ccc  d"]
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -12,14 +12,14 @@
 SIZES = {"kelani-basin": (7, 64_000, 128), "ledgerwell": (6, 16_000, 64)}
 
 
-def load(name: str) -> dict[str, Any]:
+def load_document(name: str) -> dict[str, Any]:
     document: dict[str, Any] = json.loads((DEPLOY_FOLDER / f"{name}.json").read_text())
     return document
 
 
 @pytest.mark.parametrize("name", SIZES)
 def test_the_deployment_files_have_the_sizes_of_the_design_page(name: str) -> None:
-    """Guards against a deployment file that drifts from the design page."""
+    """Guards against a deployment file that differs from the design page."""
     cell = deployment.read_deployment(DEPLOY_FOLDER / f"{name}.json")
     entries, cpu_millis, memory_gib = SIZES[name]
     assert (len(cell.entries), len(cell.zones), len(cell.teams)) == (entries, 3, 6)
@@ -31,17 +31,17 @@
 
 @pytest.mark.parametrize("name", SIZES)
 def test_settings_render_for_every_instance(name: str) -> None:
-    """Guards against a deployment from which an instance cannot start."""
+    """Guards against a deployment with settings that an instance cannot start with."""
     cell = deployment.read_deployment(DEPLOY_FOLDER / f"{name}.json")
-    for plan in cell.entries:
-        settings = deployment.render_settings(cell, plan.instance_id, KNOWN_NAMES)
-        assert (settings.instance_id, settings.zone) == (plan.instance_id, plan.zone)
+    for entry in cell.entries:
+        settings = deployment.render_settings(cell, entry.instance_id, KNOWN_NAMES)
+        assert (settings.instance_id, settings.zone) == (entry.instance_id, entry.zone)
     with pytest.raises(NotFoundError):
         deployment.render_settings(cell, "nobody", KNOWN_NAMES)
 
 
 def test_the_seed_holds_resources_that_parse() -> None:
-    """Guards against first resources that the interface refuses."""
+    """Guards against initial resources that the API rejects."""
     cell = deployment.read_deployment(DEPLOY_FOLDER / "ledgerwell.json")
     seed = json.loads(json.dumps(deployment.serialize_seed(cell)))
     assert [documents.parse_team(team) for team in seed["teams"]] == list(cell.teams)
@@ -62,7 +62,7 @@
 def test_a_deployment_that_contradicts_itself_is_refused(
     change: dict[str, object], path: str
 ) -> None:
-    """Guards against a cell that starts with instances of no zone or service."""
+    """Guards against a cell that refers to unknown zones, services or teams."""
     with pytest.raises(SettingsError) as caught:
-        deployment.parse_deployment({**load("ledgerwell"), **change})
+        deployment.parse_deployment({**load_document("ledgerwell"), **change})
     assert path in {problem.path for problem in caught.value.problems}
--- a/tests/test_exposition.py
+++ b/tests/test_exposition.py
@@ -1,10 +1,10 @@
-"""Metrics as text."""
+"""Tests of metrics in the Prometheus text format."""
 
 from marjoramgrade.exposition import PrometheusMetrics
 
 
 def test_counts_and_times_are_shown():
-    # Guards against an operator who sees no reason and no latency.
+    # Guards against retry reasons and latencies that are missing from the output.
     metrics = PrometheusMetrics()
     metrics.retried("start_refused")
     metrics.timing("commit", 15)
@@ -16,7 +16,7 @@
 
 
 def test_a_histogram_counts_a_time_in_every_bucket_that_it_does_not_exceed():
-    # Guards against percentiles on a dashboard that are off by one bucket.
+    # Guards against percentiles that are off by one bucket.
     metrics = PrometheusMetrics()
     for elapsed_ms in (1, 1.5, 60_000, 90_000):
         metrics.timing("job", elapsed_ms)
--- a/tests/test_settingsfile.py
+++ b/tests/test_settingsfile.py
@@ -33,7 +33,7 @@
 }
 
 
-def problems_of(document: object) -> dict[str, str]:
+def find_reasons(document: object) -> dict[str, str]:
     with pytest.raises(SettingsError) as caught:
         settingsfile.parse_entry_settings(document, KNOWN_NAMES)
     return {problem.path: problem.reason for problem in caught.value.problems}
@@ -48,8 +48,8 @@
 
 
 def test_every_fault_is_listed_at_once() -> None:
-    """Guards against operators who find one fault per attempt."""
-    found = problems_of(
+    """Guards against errors that report only the first fault of a file."""
+    reason_by_path = find_reasons(
         {
             **VALID_SETTINGS,
             "host": "localhost",
@@ -61,7 +61,7 @@
             "policies_by_kind": {"batch": {"placement": "worst_fit"}},
         }
     )
-    assert set(found) == {
+    assert set(reason_by_path) == {
         "host",
         "http_port",
         "peer_port",
@@ -87,15 +87,17 @@
     ],
 )
 def test_only_a_plain_address_is_a_platform_url(url: str) -> None:
-    """Guards against requests sent to an address that nobody meant."""
-    assert set(problems_of({**VALID_SETTINGS, "platform_url": url})) == {"platform_url"}
+    """Guards against requests that are sent to an unintended address."""
+    assert set(find_reasons({**VALID_SETTINGS, "platform_url": url})) == {
+        "platform_url"
+    }
 
 
 def test_an_unknown_kind_and_a_shared_port_are_faults() -> None:
-    """Guards against policies for no kind and against a port bound twice."""
-    assert problems_of({**VALID_SETTINGS, "policies_by_kind": {"cron": {}}})
-    assert set(problems_of({**VALID_SETTINGS, "peer_port": 8080})) == {"peer_port"}
-    assert problems_of({**VALID_SETTINGS, "filters": ["identify", "identify"]})
+    """Guards against policies of an unknown kind and a port that is bound twice."""
+    assert find_reasons({**VALID_SETTINGS, "policies_by_kind": {"cron": {}}})
+    assert set(find_reasons({**VALID_SETTINGS, "peer_port": 8080})) == {"peer_port"}
+    assert find_reasons({**VALID_SETTINGS, "filters": ["identify", "identify"]})
 
 
 def test_a_kind_left_out_keeps_its_default_policies() -> None:
@@ -114,7 +116,7 @@
     value=strategies.arbitrary_values,
 )
 def test_hostile_settings_raise_only_settings_errors(field: str, value: object) -> None:
-    """Guards against a settings file that crashes the start with a traceback."""
+    """Guards against a settings file that ends the start with a traceback."""
     for document in ({**VALID_SETTINGS, field: value}, value):
         try:
             settingsfile.parse_entry_settings(document, KNOWN_NAMES)
