--- a/marjoramgrade/deployment.py
+++ b/marjoramgrade/deployment.py
@@ -118,7 +118,7 @@
 
 
 def _entry_hooks() -> dict[str, StructHook]:
-    hooks = {field: settingsfile.SETTINGS_HOOKS[field] for field in _ENTRY_FIELDS}
+    hooks = {f: settingsfile.SETTINGS_HOOKS[f] for f in _ENTRY_FIELDS}
     return {**hooks, "host": ip_address()}
 
 
--- a/marjoramgrade/exposition.py
+++ b/marjoramgrade/exposition.py
@@ -93,12 +93,12 @@
         yield from families.values()
         for name, value in sorted(self.gauge_by_name.items()):
             yield GaugeMetricFamily(f"{PREFIX}{name}", name, value)
-        for name, histogram in sorted(self._histogram_by_name.items()):
+        for name, times in sorted(self._histogram_by_name.items()):
             yield HistogramMetricFamily(
                 f"{PREFIX}{name}_ms",
                 f"{name} in milliseconds",
-                buckets=histogram.cumulative_buckets(),
-                sum_value=histogram.total_ms,
+                buckets=times.cumulative_buckets(),
+                sum_value=times.total_ms,
             )
 
     def make_server(self) -> HTTPServer:
@@ -120,7 +120,5 @@
         written = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""), headers, body
         )
-        written.add_done_callback(
-            lambda future: future.cancelled() or future.exception()
-        )
+        written.add_done_callback(lambda done: done.cancelled() or done.exception())
         connection.finish()
--- a/marjoramgrade/logs.py
+++ b/marjoramgrade/logs.py
@@ -144,7 +144,7 @@
 
 def _serialize(value: Any, **_: Any) -> str:
     return jsontext.serialize_text(
-        {key: _to_json_value(field) for key, field in value.items()}
+        {key: _to_json_value(part) for key, part in value.items()}
     )
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -179,11 +179,11 @@
 
 def test_a_job_is_submitted_and_awaited() -> None:
     """Guards against exit code 0 for a failed job."""
-    failed_job = {**JOB, "outcomes": "df", "state": "failed"}
+    failed = {**JOB, "outcomes": "df", "state": "failed"}
     spec = json.dumps(JOB["spec"])
     arguments = ["submit", "-", "--wait-ms", "5000"]
     open_job = {**JOB, "outcomes": "..", "state": "open"}
-    answers = [says(open_job, status=201), says(failed_job)]
+    answers = [says(open_job, status=201), says(failed)]
     result, _ = run_command(*arguments, answers=answers, stdin=spec)
     assert result.exit_code == 1
     assert "2/2" in result.stdout
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -12,7 +12,7 @@
 SIZES = {"kelani-basin": (7, 64_000, 128), "ledgerwell": (6, 16_000, 64)}
 
 
-def load_document(name: str) -> dict[str, Any]:
+def load(name: str) -> dict[str, Any]:
     document: dict[str, Any] = json.loads((DEPLOY_FOLDER / f"{name}.json").read_text())
     return document
 
@@ -64,5 +64,5 @@
 ) -> None:
     """Guards against a cell that refers to unknown zones, services or teams."""
     with pytest.raises(SettingsError) as caught:
-        deployment.parse_deployment({**load_document("ledgerwell"), **change})
+        deployment.parse_deployment({**load("ledgerwell"), **change})
     assert path in {problem.path for problem in caught.value.problems}
