--- a/marjoramgrade/api.py
+++ b/marjoramgrade/api.py
@@ -19,7 +19,7 @@
 
 T = TypeVar("T")
 DEFAULT_DEADLINE_MS = 10_000
-# The server answers at the deadline; the rest is for the way back.
+# The server responds at the deadline; the margin lets the response arrive.
 RESPONSE_MARGIN_MS = 2_000
 
 
@@ -36,7 +36,8 @@
     """All resources of a type.
 
     Attributes:
-        version: The version up to which the list is complete; watch after it.
+        version: Version up to which the list is complete; a watch of later changes
+            starts after it.
         items: The resources.
     """
 
@@ -45,7 +46,7 @@
 
 
 class Client:
-    """Talks to one entry instance or load balancer.
+    """Client of one entry instance or load balancer.
 
     Args:
         transport: Sends the requests; closed with the client.
@@ -60,7 +61,7 @@
 
         Args:
             base_url: `http://HOST:PORT`.
-            secret: Secret of the caller's key, or empty.
+            secret: Secret of the client's key; empty to send no key.
         """
         return cls(Transport(base_url, secret))
 
@@ -74,10 +75,10 @@
         """Return all resources of a type.
 
         Raises:
-            MarjoramgradeError: What the server reported.
+            MarjoramgradeError: The error that the server reported.
         """
-        answer = await self._transport.send("GET", f"/v1/{kind.plural}")
-        return _parse_listing(answer, kind)
+        response = await self._transport.send("GET", f"/v1/{kind.plural}")
+        return _parse_listing(response, kind)
 
     async def get(self, kind: ResourceKind[T], name: str) -> Versioned[T]:
         """Return one resource.
@@ -85,8 +86,8 @@
         Raises:
             NotFoundError: If it does not exist.
         """
-        answer = await self._transport.send("GET", _path(kind.plural, name))
-        return Versioned(_parsed(kind, answer.document()), answer.version())
+        response = await self._transport.send("GET", _path(kind.plural, name))
+        return Versioned(_parse_resource(kind, response.document()), response.version())
 
     async def put(
         self, kind: ResourceKind[T], value: T, expected_version: int | None = None
@@ -104,7 +105,7 @@
 
         Raises:
             ConflictError: If the resource has another version.
-            OutcomeUnknownError: If the answer was lost.
+            OutcomeUnknownError: If the response was lost.
         """
         document = kind.serialize(value)
         path = _path(kind.plural, str(document["name"]))
@@ -113,29 +114,29 @@
     async def delete(
         self, kind: ResourceKind[T], name: str, expected_version: int | None = None
     ) -> int:
-        """Delete a resource and return the version of the configuration then.
+        """Delete a resource and return the configuration's version after the change.
 
         Raises:
             NotFoundError: If it does not exist.
             ConflictError: If it has another version than expected.
-            OutcomeUnknownError: If the answer was lost.
+            OutcomeUnknownError: If the response was lost.
         """
-        answer = await self._transport.send(
+        response = await self._transport.send(
             "DELETE", _path(kind.plural, name), headers=_if_match(expected_version)
         )
-        return answer.version()
+        return response.version()
 
     async def grant_key(self, name: str, team: str) -> str:
-        """Create a key and return its secret, which is shown only now.
+        """Create a key and return its secret, which cannot be read later.
 
         Raises:
             ConflictError: If a key of this name exists.
-            OutcomeUnknownError: If the answer was lost; delete the key then.
+            OutcomeUnknownError: If the response was lost; delete the key in this case.
         """
-        answer = await self._put(_path(KEYS.plural, name), {"team": team}, 0)
-        secret = _object(answer).get("secret")
+        response = await self._put(_path(KEYS.plural, name), {"team": team}, 0)
+        secret = _parse_object(response).get("secret")
         if type(secret) is not str or not secret:
-            raise ProtocolError("the answer holds no secret")
+            raise ProtocolError("the response contains no secret")
         return secret
 
     async def submit(self, spec: JobSpec, job_id: str = "") -> Job:
@@ -147,46 +148,46 @@
                 same id again is safe.
 
         Raises:
-            OutcomeUnknownError: If the answer was lost; `details` has the `job_id`.
+            OutcomeUnknownError: If the response was lost; `details` has the `job_id`.
         """
         job_id = job_id or uuid.uuid4().hex
         document = {"job_id": job_id, "spec": documents.serialize_job_spec(spec)}
         try:
-            answer = await self._send_document("POST", "/v1/jobs", document)
+            response = await self._send_document("POST", "/v1/jobs", document)
         except OutcomeUnknownError as error:
             error.details["job_id"] = job_id
             raise
-        return _parse_job(answer.document())
+        return _parse_job(response.document())
 
     async def get_job(self, job_id: str) -> Job:
         """Return a job."""
-        answer = await self._transport.send("GET", _path("jobs", job_id))
-        return _parse_job(answer.document())
+        response = await self._transport.send("GET", _path("jobs", job_id))
+        return _parse_job(response.document())
 
     async def cancel_job(self, job_id: str) -> Job:
-        """Ask that the open tasks of a job end, and return the job."""
-        answer = await self._transport.send("DELETE", _path("jobs", job_id))
-        return _parse_job(answer.document())
+        """Request the end of a job's open tasks and return the job."""
+        response = await self._transport.send("DELETE", _path("jobs", job_id))
+        return _parse_job(response.document())
 
     async def list_jobs(self) -> Listing[Job]:
         """Return all jobs."""
         return _parse_listing(await self._transport.send("GET", "/v1/jobs"), _JOBS)
 
     async def list_tasks(self, job_id: str) -> tuple[Document, ...]:
-        """Return the tasks of a job, as the server shows them."""
+        """Return the tasks of a job as the server's JSON objects."""
         return await self._list_documents(_path("jobs", job_id) + "/tasks")
 
     async def list_workers(self) -> tuple[Document, ...]:
-        """Return the workers, as the server shows them."""
+        """Return the workers as the server's JSON objects."""
         return await self._list_documents("/v1/workers")
 
     async def list_backends(self) -> tuple[Document, ...]:
-        """Return the backend servers, as the server shows them."""
+        """Return the backend servers as the server's JSON objects."""
         return await self._list_documents("/v1/backends")
 
     async def status(self) -> Document:
-        """Return the state of the entry instance that answers."""
-        return _object(await self._transport.send("GET", "/v1/status"))
+        """Return the state of the entry instance that responds."""
+        return _parse_object(await self._transport.send("GET", "/v1/status"))
 
     async def run(
         self,
@@ -197,32 +198,32 @@
         request_id: str = "",
         idempotent: bool = False,
     ) -> bytes:
-        """Run a request and return the complete answer.
+        """Run a request and return the complete response body.
 
         Args:
-            service: The service.
-            body: Opaque bytes for it.
-            deadline_ms: Time within which the answer is wanted.
+            service: Name of the service.
+            body: Opaque bytes for the service.
+            deadline_ms: Time within which the server has to respond.
             request_id: Unique id; a new one if empty.
             idempotent: Whether the request may run more than once.
 
         Raises:
             RefusedError: If the request has not run.
-            OutcomeUnknownError: If it may have run.
+            OutcomeUnknownError: If the request may have run.
         """
         headers = {
             "Request-Id": request_id or uuid.uuid4().hex,
             "Deadline-Ms": str(deadline_ms),
             "Idempotent": "true" if idempotent else "false",
         }
-        answer = await self._transport.send(
+        response = await self._transport.send(
             "POST",
             _path("run", service),
             body=body,
             headers=headers,
             timeout_ms=deadline_ms + RESPONSE_MARGIN_MS,
         )
-        return answer.body
+        return response.body
 
     def watch(self, after: int | None = None) -> AsyncIterator[WatchEvent]:
         """Return an iterator over every change after a version, or from now on.
@@ -250,20 +251,20 @@
         return await self._transport.send(method, path, body=body, headers=headers)
 
     async def _list_documents(self, path: str) -> tuple[Document, ...]:
-        items = _object(await self._transport.send("GET", path)).get("items")
+        items = _parse_object(await self._transport.send("GET", path)).get("items")
         if type(items) is not list or not all(type(item) is dict for item in items):
-            raise ProtocolError("the answer holds no list of objects")
+            raise ProtocolError("the response contains no list of objects")
         return tuple(items)
 
 
-def _parse_job_answer(document: object) -> Job:
-    """Return a job; the server adds the version of its row to the document."""
+def _parse_versioned_job(document: object) -> Job:
+    """Parse a job; the server adds the version of its row to the document."""
     if type(document) is dict:
         document = {k: v for k, v in document.items() if k != "version"}
     return documents.parse_job(document)
 
 
-_JOBS = ResourceKind[Job]("jobs", _parse_job_answer, documents.serialize_job)
+_JOBS = ResourceKind[Job]("jobs", _parse_versioned_job, documents.serialize_job)
 
 
 def _path(plural: str, name: str) -> str:
@@ -274,14 +275,14 @@
     return {} if expected_version is None else {"If-Match": str(expected_version)}
 
 
-def _object(answer: Response) -> dict[str, Any]:
-    document = answer.document()
+def _parse_object(response: Response) -> dict[str, Any]:
+    document = response.document()
     if type(document) is not dict:
-        raise ProtocolError("the answer is not an object")
+        raise ProtocolError("the response is not an object")
     return document
 
 
-def _parsed(kind: ResourceKind[T], document: object) -> T:
+def _parse_resource(kind: ResourceKind[T], document: object) -> T:
     try:
         return kind.parse(document)
     except InvalidInputError as error:
@@ -289,12 +290,12 @@
 
 
 def _parse_job(document: object) -> Job:
-    return _parsed(_JOBS, document)
+    return _parse_resource(_JOBS, document)
 
 
-def _parse_listing(answer: Response, kind: ResourceKind[T]) -> Listing[T]:
-    document = _object(answer)
+def _parse_listing(response: Response, kind: ResourceKind[T]) -> Listing[T]:
+    document = _parse_object(response)
     version, items = document.get("version"), document.get("items")
     if type(version) is not int or type(items) is not list:
-        raise ProtocolError("the answer holds no version or no list")
-    return Listing(version, tuple(_parsed(kind, item) for item in items))
+        raise ProtocolError("the response contains no version or no list")
+    return Listing(version, tuple(_parse_resource(kind, item) for item in items))
--- a/marjoramgrade/composition.py
+++ b/marjoramgrade/composition.py
@@ -1,4 +1,4 @@
-"""Builds the controllers of an entry instance and wires them to each other."""
+"""Builds the controllers of an entry instance and connects them to each other."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     """Return the shard that a worker or backend server belongs to.
 
     Instances of one rack share a shard, so that gangs can be placed together;
-    without a rack the id decides.
+    an instance without a rack is assigned by its id.
     """
     key = instance.rack or instance.instance_id
     digest = hashlib.sha256(key.encode()).digest()
@@ -69,8 +69,8 @@
     def iter_before_join(self) -> Iterator[Actor]:
         """Yield the controllers to start before the instance becomes a member.
 
-        Each is started after those that it tells or asks, so that the reverse
-        order of the stop leaves nobody who tells a stopped one.
+        Each controller starts after the controllers that it tells or asks. They
+        stop in reverse order, so that no message goes to a stopped controller.
         """
         yield from (self.authority, self.record_writer, self.watch, self.routes)
         yield from self.dispatcher_by_shard.values()
@@ -80,14 +80,14 @@
 
 @attrs.define
 class ControllerBuilder:
-    """Builds the parts of one entry instance.
+    """Builds the controllers of one entry instance.
 
     Attributes:
         settings: Settings of the instance.
-        clock: Monotonic time.
-        metrics: Counters.
-        platform: Connection to the platform.
-        backends: Reaches the backend servers.
+        clock: Source of monotonic time.
+        metrics: Metrics that the controllers report.
+        platform: Client of the platform.
+        backends: Client of the backend servers.
     """
 
     settings: EntrySettings
@@ -95,6 +95,7 @@
     metrics: Metrics
     platform: PlatformClient
     backends: BackendClient
+    # Holds the jobs controller, which is built after the schedulers that use it.
     _jobs: list[Actor] = attrs.field(factory=list)
 
     @property
@@ -104,12 +105,12 @@
         return [f"{self.settings.zone}.{number}" for number in range(count)]
 
     def build_controllers(self) -> ControllerSet:
-        """Return the parts, wired and not yet started."""
+        """Build the controllers and connect them; none of them is started yet."""
         settings, store = self.settings, Store(HttpTable(self.platform))
-        own = Member(
+        own_member = Member(
             settings.instance_id, settings.zone, settings.host, settings.peer_port
         )
-        authority = AuthorityController(own, self.clock, self.metrics)
+        authority = AuthorityController(own_member, self.clock, self.metrics)
         record_writer, watch = RecordWriterController(store), WatchController()
         routes = RoutesController(
             settings.instance_id, settings.zone, self.clock, self.metrics
@@ -122,9 +123,9 @@
             shard: self._make_scheduler(shard, store, record_writer, routes)
             for shard in self.shards
         }
-        by_shard = (*dispatchers.values(), *schedulers.values())
-        ownership = self._make_ownership(store, authority, by_shard)
-        members = self._make_members(own, store, authority, (ownership, routes))
+        shard_controllers = (*dispatchers.values(), *schedulers.values())
+        ownership = self._make_ownership(store, authority, shard_controllers)
+        members = self._make_members(own_member, store, authority, (ownership, routes))
         jobs = self._make_jobs(
             store, record_writer, routes, members, (watch, *schedulers.values())
         )
@@ -135,10 +136,12 @@
             authority,
             self.clock,
             self.metrics,
-            (watch, routes, jobs, authority, *by_shard),
+            (watch, routes, jobs, authority, *shard_controllers),
         )
         instances = InstancesController(
-            InstanceList(self.platform), self.metrics, (jobs, members, *by_shard)
+            InstanceList(self.platform),
+            self.metrics,
+            (jobs, members, *shard_controllers),
         )
         inbound = InboundController(
             authority, config, jobs, routes, dispatchers, schedulers
@@ -166,7 +169,7 @@
         return DispatchController(
             shard,
             self.settings.instance_id,
-            self._membership_of(shard),
+            self._make_shard_predicate(shard),
             self.backends,
             record_writer,
             store,
@@ -182,7 +185,7 @@
         return ShardController(
             shard,
             self.settings.instance_id,
-            self._membership_of(shard),
+            self._make_shard_predicate(shard),
             self.settings.policies_by_kind,
             store,
             record_writer,
@@ -209,14 +212,14 @@
 
     def _make_members(
         self,
-        own: Member,
+        own_member: Member,
         store: Store,
         authority: Actor,
         subscribers: tuple[Actor, ...],
     ) -> MembersController:
         settings = self.settings
         return MembersController(
-            own,
+            own_member,
             store,
             authority,
             self.clock,
@@ -247,6 +250,6 @@
             subscribers,
         )
 
-    def _membership_of(self, shard: str) -> Callable[[Instance], bool]:
+    def _make_shard_predicate(self, shard: str) -> Callable[[Instance], bool]:
         count = self.settings.shards_per_zone
         return lambda instance: shard_of(instance, count) == shard
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -1,4 +1,4 @@
-"""The life of an entry instance: start, service, drain and stop."""
+"""The lifecycle of an entry instance: start, service, drain and stop."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 
 class EntryInstance:
-    """One entry instance; an asynchronous context manager that owns its parts.
+    """An entry instance: a context manager for its actors, servers and clients.
 
     Args:
-        settings: Everything it learns at its start.
+        settings: Settings of the instance.
     """
 
     def __init__(self, settings: EntrySettings) -> None:
@@ -70,10 +70,10 @@
         await self._stack.aclose()
 
     async def wait_for_stop(self, stop: asyncio.Event) -> bool:
-        """Wait for the request to stop, or for a failure of one of the parts.
+        """Wait until `stop` is set or one of the actors fails.
 
         Returns:
-            Whether all parts still work.
+            Whether no actor has failed.
         """
         waits = [
             asyncio.ensure_future(event.wait()) for event in (stop, self._stack.failed)
@@ -84,7 +84,7 @@
         return not self._stack.failed.is_set()
 
     async def drain(self) -> None:
-        """Refuse new requests, let running ones end and hand the shards over."""
+        """Refuse new requests, wait for running requests and release the shards."""
         assert self._state is not None and self._controllers is not None
         logs.log_event("shutting_down")
         self._state.is_ready = False
@@ -97,15 +97,16 @@
         await self._wait_for_new_owners(self._controllers.routes)
 
     async def _wait_for_new_owners(self, routes: Actor) -> None:
-        """Answer peers until they know that this instance owns nothing.
+        """Serve peers until no summary names this instance as the owner of a shard.
 
-        A request that arrives on a connection as it closes would have an unknown
-        outcome; until then it is refused as not run.
+        A request that arrives on a connection while it closes has an unknown
+        outcome. As long as the connections stay open, requests are refused as not
+        run.
         """
         own_id = self._settings.instance_id
         while own_id in (await routes.ask(GetSummaries())).owners():
             await asyncio.sleep(SHUTDOWN_POLL_MS / 1000)
-        # Other peers hear of the new owner with its next summary.
+        # The new owner's next summary informs the other peers.
         await asyncio.sleep(SEND_INTERVAL_MS / 1000)
 
     async def _start(self) -> None:
@@ -124,7 +125,7 @@
         peer_server = PeerServer(controllers.inbound)
         peer_server.listen(settings.peer_port, address=settings.host)
         self._stack.push_async_callback(peer_server.close)
-        # From here on peers find this instance, and it takes shards over.
+        # From here on, peers can find this instance and it takes over shards.
         await self._stack.add(controllers.members)
         await self._stack.add(controllers.ownership)
         self._listen(controllers)
@@ -133,7 +134,7 @@
         logs.log_event("started", zone=settings.zone)
 
     def _listen(self, controllers: ControllerSet) -> None:
-        """Take requests of callers and operators."""
+        """Accept HTTP requests from clients and operators."""
         settings = self._settings
         environment = FilterEnvironment(
             settings,
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -1,4 +1,4 @@
-"""HTTP requests to an entry instance, with every failure as a typed error."""
+"""HTTP requests to an entry instance; every failure is raised as a typed error."""
 
 from __future__ import annotations
 
@@ -27,15 +27,18 @@
 )
 
 CONNECT_TIMEOUT_MS = 2_000
-# Longer than the server's own deadline of 10 s, after which it still answers.
+# Longer than the server's default deadline of 10 s, since the server still responds
+# after its deadline.
 REQUEST_TIMEOUT_MS = 12_000
 MAX_CLIENTS = 100
 MAX_LINE_BYTES = 2 * 1_048_576
 MAX_ERROR_BYTES = 65_536
-# Few chunks wait for a slow reader; the connection holds back the rest.
+# Chunks buffered for a slow reader; further chunks are not read from the connection
+# until the buffer has space.
 MAX_BUFFERED_CHUNKS = 4
 
-_SENT_TIMEOUT = "Timeout during request"
+# Tornado's error text for a time-out after the connection was established.
+_REQUEST_TIMEOUT_TEXT = "Timeout during request"
 
 
 class ServerUnreachableError(MarjoramgradeError):
@@ -46,7 +49,7 @@
 
 @attrs.frozen
 class Response:
-    """The answer to a request.
+    """The response to a successful request.
 
     Attributes:
         status: HTTP status.
@@ -73,11 +76,11 @@
         """Return the version in the `ETag` header.
 
         Raises:
-            ProtocolError: If there is none.
+            ProtocolError: If the header is missing or invalid.
         """
         tag = self.headers.get("ETag", "").removeprefix("W/").strip('"')
         if not (tag.isascii() and tag.isdigit() and len(tag) < 20):
-            raise ProtocolError("the answer holds no version")
+            raise ProtocolError("the response has no version")
         return int(tag)
 
 
@@ -86,7 +89,7 @@
 
     Args:
         base_url: `http://HOST:PORT` of an entry instance or a load balancer.
-        secret: Secret of the caller's key, or empty.
+        secret: Secret of the client's key; empty to send no key.
     """
 
     def __init__(self, base_url: str, secret: str = "") -> None:
@@ -95,7 +98,7 @@
         self._http = AsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
     def close(self) -> None:
-        """Release the client's resources."""
+        """Close the HTTP client."""
         self._http.close()
 
     async def send(
@@ -107,14 +110,15 @@
         headers: Mapping[str, str] | None = None,
         timeout_ms: int = REQUEST_TIMEOUT_MS,
     ) -> Response:
-        """Send one request; it is never repeated.
+        """Send a request once, without retries.
 
         Raises:
-            ServerUnreachableError: If nothing was sent, or nothing can have changed.
-            OutcomeUnknownError: If the answer to a change was lost.
+            ServerUnreachableError: If the request was not sent or cannot have changed
+                anything.
+            OutcomeUnknownError: If the response to a change was lost.
             MarjoramgradeError: The error that the server reported.
         """
-        request = self._request(method, path, headers, timeout_ms)
+        request = self._make_request(method, path, headers, timeout_ms)
         request.body = body  # type: ignore[assignment]
         try:
             response = await self._http.fetch(request, raise_error=False)
@@ -128,19 +132,19 @@
     async def iter_lines(
         self, path: str, connection_lifetime_ms: int
     ) -> AsyncGenerator[bytes]:
-        """Yield the lines of a streamed answer until it ends.
+        """Yield the lines of a streamed response until it ends.
 
         Args:
-            path: What to read.
-            connection_lifetime_ms: Time after which the connection is given up, which
-                also bounds how long a dead connection goes unnoticed.
+            path: Path of the URL, with the query.
+            connection_lifetime_ms: Time after which the connection is closed. It also
+                bounds how long a dead connection stays undetected.
 
         Raises:
             ServerUnreachableError: If the connection broke or was refused.
             MarjoramgradeError: The error that the server reported.
         """
         stream = _LineStream()
-        request = self._request("GET", path, None, connection_lifetime_ms)
+        request = self._make_request("GET", path, None, connection_lifetime_ms)
         request.header_callback = stream.on_header
         request.streaming_callback = stream.on_chunk
         fetch = asyncio.ensure_future(stream.fetch(self._http, request))
@@ -156,20 +160,20 @@
         if response is not None and response.code >= 400:
             raise parse_error("GET", response.code, stream.error_body)
 
-    def _request(
+    def _make_request(
         self,
         method: str,
         path: str,
         headers: Mapping[str, str] | None,
         timeout_ms: int,
     ) -> HTTPRequest:
-        sent = HTTPHeaders(dict(headers or {}))
+        sent_headers = HTTPHeaders(dict(headers or {}))
         if self._secret:
-            sent["Authorization"] = f"Bearer {self._secret}"
+            sent_headers["Authorization"] = f"Bearer {self._secret}"
         return HTTPRequest(
             self._base_url + path,
             method=method,
-            headers=sent,
+            headers=sent_headers,
             connect_timeout=CONNECT_TIMEOUT_MS / 1000,
             request_timeout=timeout_ms / 1000,
             follow_redirects=False,
@@ -179,7 +183,7 @@
 
 
 class _LineStream:
-    """Carries the chunks of one answer from the connection to its reader."""
+    """Buffers the chunks of one response between the connection and its reader."""
 
     def __init__(self) -> None:
         self._chunks: Queue[bytes | None] = Queue(maxsize=MAX_BUFFERED_CHUNKS)
@@ -190,11 +194,14 @@
     async def fetch(
         self, http: AsyncHTTPClient, request: HTTPRequest
     ) -> HTTPResponse | None:
-        """Return the answer, or None if the window ended first."""
+        """Return the response, or None if the connection's lifetime ended first."""
         try:
             return await _shield(http.fetch(request, raise_error=False))
         except Exception as error:
-            if isinstance(error, HTTPTimeoutError) and str(error) == _SENT_TIMEOUT:
+            if (
+                isinstance(error, HTTPTimeoutError)
+                and str(error) == _REQUEST_TIMEOUT_TEXT
+            ):
                 return None
             raise _transport_error("GET", error) from error
         finally:
@@ -202,63 +209,69 @@
                 await self._chunks.put(None)
 
     def on_header(self, line: str) -> None:
-        """Note the status, which decides what the body means."""
+        """Record the status, which tells whether the body holds lines or an error."""
         if line.startswith("HTTP/"):
             self._status = int(line.split()[1])
 
     async def on_chunk(self, chunk: bytes) -> None:
-        """Take a chunk; waits while the reader is behind."""
+        """Store a chunk; wait while the buffer is full."""
         if self._closed:
-            raise ProtocolError("nobody reads this answer")
+            raise ProtocolError("the reader of the response has stopped")
         if self._status >= 400:
             self.error_body = (self.error_body + chunk)[:MAX_ERROR_BYTES]
         else:
             await self._chunks.put(chunk)
 
     async def iter_lines(self) -> AsyncGenerator[bytes]:
-        """Yield complete lines; the rest of a broken line is dropped."""
-        held = b""
+        """Yield complete lines; an incomplete last line is discarded."""
+        rest = b""
         while (chunk := await self._chunks.get()) is not None:
-            *lines, held = (held + chunk).split(b"\n")
-            if len(held) > MAX_LINE_BYTES:
-                raise OversizedInputError("a line is too long")
+            *lines, rest = (rest + chunk).split(b"\n")
+            if len(rest) > MAX_LINE_BYTES:
+                raise OversizedInputError("a line of the response is too long")
             for line in lines:
                 yield line
 
     def close(self) -> None:
-        """Make the connection end at its next chunk."""
+        """Discard buffered chunks and end the connection at its next chunk."""
         self._closed = True
         while not self._chunks.empty():
             self._chunks.get_nowait()
 
 
-async def _shield(answer: asyncio.Future[HTTPResponse]) -> HTTPResponse:
-    """Wait for an answer so that giving up leaves no message behind.
+async def _shield(response: asyncio.Future[HTTPResponse]) -> HTTPResponse:
+    """Wait for a response; a cancelled wait logs no error.
 
     Tornado logs an error if its future is cancelled before the connection ends,
-    and asyncio logs one if nobody looks at the exception of a future.
+    and asyncio logs an error if the exception of a future is never retrieved.
     """
-    answer.add_done_callback(lambda done: done.cancelled() or done.exception())
-    return await asyncio.shield(answer)
+    response.add_done_callback(lambda done: done.cancelled() or done.exception())
+    return await asyncio.shield(response)
 
 
 def _transport_error(method: str, error: Exception) -> MarjoramgradeError:
     reason = str(error) or type(error).__name__
     refused = isinstance(error, ConnectionRefusedError | socket.gaierror)
-    unsent = isinstance(error, HTTPTimeoutError) and reason != _SENT_TIMEOUT
+    unsent = isinstance(error, HTTPTimeoutError) and reason != _REQUEST_TIMEOUT_TEXT
     if method == "GET" or refused or unsent:
         return ServerUnreachableError(f"the server cannot be reached: {reason}")
-    return OutcomeUnknownError(f"the answer was lost: {reason}")
+    return OutcomeUnknownError(f"the response was lost: {reason}")
 
 
 def parse_error(
     method: str, status: int, body: bytes, ran: str = ""
 ) -> MarjoramgradeError:
-    """Return the typed error that the body of an answer holds.
+    """Return the typed error in the body of a response.
 
-    An answer without such a body is from a backend server if the entry instance
-    says that the work ran. Otherwise it is from something on the way, which does
-    not say whether a change took effect.
+    A response without a typed error comes from a backend server if the entry
+    instance reports that the work ran. Otherwise it comes from an intermediary,
+    which does not report whether a change took effect.
+
+    Args:
+        method: HTTP method of the request.
+        status: HTTP status of the response.
+        body: Body of the response, or its first `MAX_ERROR_BYTES`.
+        ran: Value of the response's `Ran` header; empty if it is missing.
     """
     try:
         document = jsontext.parse_text(body, max_bytes=MAX_ERROR_BYTES)
@@ -271,10 +284,10 @@
         pass
     if ran == Ran.YES.value:
         return BackendFailedError(
-            f"the backend server answered with status {status}", status=str(status)
+            f"the backend server responded with status {status}", status=str(status)
         )
     if method != "GET" and status >= 500:
-        return OutcomeUnknownError(f"the answer has status {status} and no reason")
+        return OutcomeUnknownError(f"the response has status {status} and no reason")
     if status >= 500:
-        return ServerUnreachableError(f"the answer has status {status}")
-    return ProtocolError(f"the answer has status {status} and no typed error")
+        return ServerUnreachableError(f"the response has status {status}")
+    return ProtocolError(f"the response has status {status} and no typed error")
--- a/marjoramgrade/watchclient.py
+++ b/marjoramgrade/watchclient.py
@@ -1,4 +1,4 @@
-"""Changes as they happen, over any number of connections."""
+"""Iterates over changes of resources and reconnects when a connection ends."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
 
 
 class WatchResetError(MarjoramgradeError):
-    """Changes between two versions are no longer known; list, then watch again.
+    """Missed changes are no longer available; list the resources and watch again.
 
     Attributes:
-        version: The version from which changes are known.
+        version: Version from which changes are available.
     """
 
     code = "watch_reset"
@@ -51,10 +51,10 @@
 
 @attrs.frozen
 class WatchEvent:
-    """One change.
+    """One change of a resource.
 
     Attributes:
-        version: The version at which it happened.
+        version: Version of the change; several changes can have the same version.
         kind: Type of the resource.
         name: Name of the resource.
         document: The resource after the change, or None if it was deleted.
@@ -93,10 +93,10 @@
 
 
 def parse_line(line: bytes) -> WatchEvent:
-    """Return the change that a line holds.
+    """Parse the change in a line.
 
     Raises:
-        WatchResetError: If the line says that the watch cannot resume.
+        WatchResetError: If the line reports that the watch cannot resume.
         ProtocolError: If the line has another form.
     """
     try:
@@ -120,8 +120,8 @@
 
 
 @attrs.define
-class _Latest:
-    """The last version of one kind of resource, and its names at that version."""
+class _LatestVersion:
+    """Latest version of one kind of resource and the names that changed at it."""
 
     version: int = 0
     names: set[str] = attrs.field(factory=set)
@@ -129,24 +129,27 @@
 
 @attrs.define
 class WatchCursor:
-    """How far a watch has come.
+    """Position of a watch in the sequence of changes.
 
-    One version can bring several changes, and a connection may break between
-    them. A watch therefore resumes just before its last version and drops the
+    One version can contain several changes, and a connection may break between
+    them. A watch therefore resumes one version before its latest and discards the
     changes that it has seen. The server sends all changes in order of version.
+
+    Attributes:
+        after: Version after which the watch started.
     """
 
     after: int
-    _latest_by_kind: dict[str, _Latest] = attrs.field(factory=dict)
+    _latest_by_kind: dict[str, _LatestVersion] = attrs.field(factory=dict)
 
     @property
     def resume_after(self) -> int:
-        """The version to ask for when the watch resumes."""
+        """The version after which the watch resumes."""
         newest = (latest.version - 1 for latest in self._latest_by_kind.values())
         return max(newest, default=self.after)
 
     def advance(self, event: WatchEvent) -> bool:
-        """Return whether a change is new.
+        """Record a change and return whether it is new.
 
         Raises:
             ProtocolError: If the change is out of order.
@@ -155,7 +158,7 @@
             raise ProtocolError("the watch sent a change from before its start")
         if len(self._latest_by_kind) > MAX_KINDS:
             raise ProtocolError("the watch sent too many kinds of resource")
-        latest = self._latest_by_kind.setdefault(event.kind, _Latest())
+        latest = self._latest_by_kind.setdefault(event.kind, _LatestVersion())
         if event.version < latest.version:
             raise ProtocolError(f"the changes of kind {event.kind} are out of order")
         if event.version > latest.version:
@@ -173,16 +176,16 @@
     *,
     connection_lifetime_ms: int = CONNECTION_LIFETIME_MS,
 ) -> AsyncIterator[WatchEvent]:
-    """Yield every change after a version, across broken connections.
+    """Yield every change after a version; reconnect when a connection breaks.
 
     Args:
-        transport: Where to ask.
+        transport: Sends the requests.
         after: The last version that the caller knows; None to start from now.
-        connection_lifetime_ms: How long one connection is used.
+        connection_lifetime_ms: Time after which a connection is replaced.
 
     Raises:
         WatchResetError: If changes were missed.
-        ServerUnreachableError: If no attempt of several in a row got an answer.
+        ServerUnreachableError: If `MAX_CONSECUTIVE_FAILURES` attempts in a row failed.
         MarjoramgradeError: The error that the server reported.
     """
     cursor = None if after is None else WatchCursor(after)
@@ -219,9 +222,9 @@
         parse_line(line)
     except WatchResetError as error:
         return error.version
-    raise ProtocolError("the watch did not say where it starts")
+    raise ProtocolError("the watch did not report its start version")
 
 
 def _delay_ms(failures: int) -> int:
-    # A delay after success too, in case a server ends each answer at once.
+    # Also delays after a success, in case a server ends each response at once.
     return min(INITIAL_BACKOFF_MS << failures, MAX_BACKOFF_MS)
