--- a/tests/scriptedserver.py
+++ b/tests/scriptedserver.py
@@ -1,4 +1,4 @@
-"""An HTTP server whose answers a test writes."""
+"""An HTTP server that sends the responses that a test specifies."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,11 @@
 
 
 class ScriptedServer:
-    """Answers each request with the next answer; keeps the requests."""
+    """Sends the next response to each request and records the requests.
+
+    Args:
+        answers: Functions that write the responses, in the order of the requests.
+    """
 
     def __init__(self, *answers: Answer) -> None:
         self.answers = list(answers)
@@ -22,12 +26,12 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["ScriptedServer"]:
-        script = self
+        scripted = self
 
         class Handler(RequestHandler):
             async def prepare(self) -> None:
-                script.requests.append(self.request)
-                answer = script.answers.pop(0)(self)
+                scripted.requests.append(self.request)
+                answer = scripted.answers.pop(0)(self)
                 if answer is not None:
                     await answer
                 if not self._finished:
@@ -88,7 +92,7 @@
 def run(
     work: Callable[[ScriptedServer], Awaitable[object]], *answers: Answer
 ) -> ScriptedServer:
-    """Run work against a server with these answers."""
+    """Run `work` with a server that sends the given responses."""
     server = ScriptedServer(*answers)
 
     async def body() -> None:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -30,7 +30,7 @@
     return serialize_job(JOB)
 
 
-def test_resources_travel_with_their_versions() -> None:
+def test_resources_are_sent_with_their_versions() -> None:
     """Guards against changes that overwrite another operator's change."""
 
     async def work(server: ScriptedServer) -> None:
@@ -69,7 +69,7 @@
 
 
 def test_jobs_and_requests_carry_unique_ids() -> None:
-    """Guards against work that cannot be recognised when it is sent again."""
+    """Guards against repeated work that the server cannot recognise as repeated."""
 
     async def work(server: ScriptedServer) -> None:
         async with Client.from_url(server.url) as client:
@@ -78,8 +78,8 @@
             assert await client.cancel_job("j1") == JOB
             assert await client.run("svc", b"\x00in", idempotent=True) == b"out"
 
-    answers = [says({**job_document(), "version": 7})] * 3 + [says(b"out")]
-    submit, _, _, request = run(work, *answers).requests
+    responses = [says({**job_document(), "version": 7})] * 3 + [says(b"out")]
+    submit, _, _, request = run(work, *responses).requests
     assert len(json.loads(submit.body)["job_id"]) == 32
     assert request.headers["Idempotent"] == "true"
     assert len(request.headers["Request-Id"]) == 32
@@ -115,7 +115,7 @@
 
 
 def test_a_lost_answer_to_a_submission_names_the_job() -> None:
-    """Guards against a job that runs and that its caller cannot find."""
+    """Guards against a job that runs and that its client cannot find."""
 
     async def work(server: ScriptedServer) -> None:
         async with Client.from_url(server.url) as client:
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("body", ["{", "[]", {"version": "1", "items": []}, {"a": 1}])
 def test_a_broken_answer_is_a_protocol_error(body: object) -> None:
-    """Guards against a client that shows an empty list for a broken answer."""
+    """Guards against a client that shows an empty list for an invalid response."""
 
     async def work(server: ScriptedServer) -> None:
         async with Client.from_url(server.url) as client:
@@ -154,7 +154,7 @@
 
 @given(strategies.arbitrary_values)
 def test_any_error_document_becomes_a_typed_error(report: object) -> None:
-    """Guards against an error answer that crashes the client."""
+    """Guards against an error response that raises an untyped error in the client."""
     for document in (report, {"error": report}):
         body = json.dumps(document).encode()
         error = parse_error("POST", 500, body)
@@ -170,7 +170,7 @@
 
 
 def test_the_client_and_the_entry_instance_agree(tmp_path: pathlib.Path) -> None:
-    """Guards against a client and a server that drift apart."""
+    """Guards against a client and a server with different formats."""
 
     async def configure(cell: Cell, client: Client) -> str:
         async def is_admitted() -> bool:
@@ -198,18 +198,18 @@
     async def work(cell: Cell) -> None:
         first, second = cell.running_entries()
         operator = Client.from_url(first.url, OPERATOR_SECRET)
-        async with operator, Client.from_url(second.url) as stranger:
+        async with operator, Client.from_url(second.url) as unauthenticated:
             secret = await configure(cell, operator)
             await cell.wait_for_shards()
             assert len(await operator.list_workers()) == 8
             with pytest.raises(errors.UnauthenticatedError):
-                await stranger.get_job("j1")
+                await unauthenticated.get_job("j1")
             watching = asyncio.ensure_future(watch_until_done(operator))
             async with Client.from_url(second.url, secret) as client:
                 spec = model.JobSpec("a", model.JobKind.BATCH, tasks=2, run_ms=20)
                 assert (await client.submit(spec, "j1")).spec == spec
-                answer = await client.run("charity-accounts", b'{"work_ms":5}')
-                assert answer == b'{"work_ms":5}'
+                response = await client.run("charity-accounts", b'{"work_ms":5}')
+                assert response == b'{"work_ms":5}'
                 done = await asyncio.wait_for(watching, 20)
                 assert done == (await client.get_job("j1")).outcomes == "dd"
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes, counted by the stand-ins."""
+"""End-to-end tests with separate processes; the stand-ins count the runs."""
 
 import asyncio
 import json
@@ -20,8 +20,8 @@
     return await cell.fetch_json(f"{url}/v1/jobs/{job_id}", secret=secret)
 
 
-def test_a_request_and_a_job_pass_the_whole_path(tmp_path: pathlib.Path) -> None:
-    """Guards against a path that works only within one process or one zone."""
+def test_a_request_and_a_job_complete_end_to_end(tmp_path: pathlib.Path) -> None:
+    """Guards against requests and jobs that work only in one process or one zone."""
 
     async def run() -> None:
         async with Cell(tmp_path) as cell:
@@ -29,15 +29,15 @@
             await cell.wait_for_shards()
             first, second = cell.running_entries()
             body = {"work_ms": 5, "case": "0042"}
-            for request_id, plan in (("check-1", first), ("check-2", second)):
-                answer = await cell.fetch(
-                    plan.url + SERVICE_PATH,
+            for request_id, entry in (("check-1", first), ("check-2", second)):
+                response = await cell.fetch(
+                    entry.url + SERVICE_PATH,
                     "POST",
                     body=body,
                     secret=secret,
                     headers={"Request-Id": request_id},
                 )
-                assert (answer.code, json.loads(answer.body)) == (200, body)
+                assert (response.code, json.loads(response.body)) == (200, body)
             spec = {"team": "hospices", "kind": "batch", "tasks": 20, "run_ms": 20}
             accepted = await cell.fetch(
                 f"{first.url}/v1/jobs",
@@ -56,23 +56,23 @@
 
 
 def test_a_repeated_non_idempotent_request_runs_once(tmp_path: pathlib.Path) -> None:
-    """Guards against a posting that is doubled by a retry at another instance."""
+    """Guards against a posting that runs twice after a retry at another instance."""
 
     async def run() -> None:
         async with Cell(tmp_path, workers_per_zone=1) as cell:
             secret = (await cell.seed(TEAMS))["hospices"]
             await cell.wait_for_shards()
-            answers = []
-            for plan in cell.running_entries():
-                answer = await cell.fetch(
-                    plan.url + SERVICE_PATH,
+            status_codes = []
+            for entry in cell.running_entries():
+                response = await cell.fetch(
+                    entry.url + SERVICE_PATH,
                     "POST",
                     body={},
                     secret=secret,
                     headers={"Request-Id": "posting-7"},
                 )
-                answers.append(answer.code)
-            assert answers == [200, 409]
+                status_codes.append(response.code)
+            assert status_codes == [200, 409]
             backends = await cell.counters("backend")
             runs = sum((Counter(b["runs"]) for b in backends.values()), Counter())
             assert runs == {"posting-7": 1}
--- a/tests/test_watchclient.py
+++ b/tests/test_watchclient.py
@@ -56,20 +56,20 @@
     assert uris == ["/v1/watch?after=4"] + ["/v1/watch?after=5"] * 3
 
 
-def test_a_silent_connection_is_replaced() -> None:
+def test_an_unresponsive_connection_is_replaced() -> None:
     """Guards against a watch that waits forever on a dead connection."""
 
     async def work(server: ScriptedServer) -> None:
         assert await collect_events(server, 1, connection_lifetime_ms=200) == [(1, "a")]
 
-    async def silence(handler: object) -> None:
+    async def send_nothing(handler: object) -> None:
         await asyncio.sleep(0.5)
 
-    assert len(run(work, silence, streams(line(1, "a"))).requests) == 2
+    assert len(run(work, send_nothing, streams(line(1, "a"))).requests) == 2
 
 
 def test_a_watch_that_cannot_resume_raises_a_typed_error() -> None:
-    """Guards against a gap that the caller does not hear of."""
+    """Guards against missed changes that are not reported to the caller."""
 
     async def work(server: ScriptedServer) -> None:
         with pytest.raises(WatchResetError) as caught:
@@ -90,7 +90,7 @@
 
 
 def test_a_watch_from_now_on_starts_at_the_server_s_version() -> None:
-    """Guards against a new watch that takes its own start for a gap."""
+    """Guards against a new watch that reports its start version as missed changes."""
 
     async def work(server: ScriptedServer) -> None:
         assert await collect_events(server, 2, after=None) == [(91, "a"), (92, "b")]
@@ -115,7 +115,7 @@
 
 
 def test_kinds_may_interleave() -> None:
-    """Guards against a watch that ends because two feeds are merged."""
+    """Guards against a watch that fails because versions of two kinds interleave."""
 
     async def work(server: ScriptedServer) -> None:
         assert await collect_events(server, 2, after=2) == [(5, "a"), (4, "c")]
@@ -125,6 +125,6 @@
 
 @given(st.binary(max_size=100) | st.text().map(lambda t: json.dumps(t).encode()))
 def test_hostile_lines_raise_only_typed_errors(data: bytes) -> None:
-    """Guards against a line that crashes the watcher."""
+    """Guards against a line that raises an untyped error in the client."""
     with contextlib.suppress(MarjoramgradeError):
         watchclient.parse_line(data)
