--- a/marjoramgrade/api.py
+++ b/marjoramgrade/api.py
@@ -77,8 +77,8 @@
         Raises:
             MarjoramgradeError: The error that the server reported.
         """
-        response = await self._transport.send("GET", f"/v1/{kind.plural}")
-        return _parse_listing(response, kind)
+        answer = await self._transport.send("GET", f"/v1/{kind.plural}")
+        return _parse_listing(answer, kind)
 
     async def get(self, kind: ResourceKind[T], name: str) -> Versioned[T]:
         """Return one resource.
@@ -86,8 +86,8 @@
         Raises:
             NotFoundError: If it does not exist.
         """
-        response = await self._transport.send("GET", _path(kind.plural, name))
-        return Versioned(_parse_resource(kind, response.document()), response.version())
+        answer = await self._transport.send("GET", _path(kind.plural, name))
+        return Versioned(_parse_resource(kind, answer.document()), answer.version())
 
     async def put(
         self, kind: ResourceKind[T], value: T, expected_version: int | None = None
@@ -121,10 +121,10 @@
             ConflictError: If it has another version than expected.
             OutcomeUnknownError: If the response was lost.
         """
-        response = await self._transport.send(
+        answer = await self._transport.send(
             "DELETE", _path(kind.plural, name), headers=_if_match(expected_version)
         )
-        return response.version()
+        return answer.version()
 
     async def grant_key(self, name: str, team: str) -> str:
         """Create a key and return its secret, which cannot be read later.
@@ -133,8 +133,8 @@
             ConflictError: If a key of this name exists.
             OutcomeUnknownError: If the response was lost; delete the key in this case.
         """
-        response = await self._put(_path(KEYS.plural, name), {"team": team}, 0)
-        secret = _parse_object(response).get("secret")
+        answer = await self._put(_path(KEYS.plural, name), {"team": team}, 0)
+        secret = _parse_object(answer).get("secret")
         if type(secret) is not str or not secret:
             raise ProtocolError("the response contains no secret")
         return secret
@@ -153,21 +153,21 @@
         job_id = job_id or uuid.uuid4().hex
         document = {"job_id": job_id, "spec": documents.serialize_job_spec(spec)}
         try:
-            response = await self._send_document("POST", "/v1/jobs", document)
+            answer = await self._send_document("POST", "/v1/jobs", document)
         except OutcomeUnknownError as error:
             error.details["job_id"] = job_id
             raise
-        return _parse_job(response.document())
+        return _parse_job(answer.document())
 
     async def get_job(self, job_id: str) -> Job:
         """Return a job."""
-        response = await self._transport.send("GET", _path("jobs", job_id))
-        return _parse_job(response.document())
+        answer = await self._transport.send("GET", _path("jobs", job_id))
+        return _parse_job(answer.document())
 
     async def cancel_job(self, job_id: str) -> Job:
         """Request the end of a job's open tasks and return the job."""
-        response = await self._transport.send("DELETE", _path("jobs", job_id))
-        return _parse_job(response.document())
+        answer = await self._transport.send("DELETE", _path("jobs", job_id))
+        return _parse_job(answer.document())
 
     async def list_jobs(self) -> Listing[Job]:
         """Return all jobs."""
@@ -216,14 +216,14 @@
             "Deadline-Ms": str(deadline_ms),
             "Idempotent": "true" if idempotent else "false",
         }
-        response = await self._transport.send(
+        answer = await self._transport.send(
             "POST",
             _path("run", service),
             body=body,
             headers=headers,
             timeout_ms=deadline_ms + RESPONSE_MARGIN_MS,
         )
-        return response.body
+        return answer.body
 
     def watch(self, after: int | None = None) -> AsyncIterator[WatchEvent]:
         """Return an iterator over every change after a version, or from now on.
@@ -275,8 +275,8 @@
     return {} if expected_version is None else {"If-Match": str(expected_version)}
 
 
-def _parse_object(response: Response) -> dict[str, Any]:
-    document = response.document()
+def _parse_object(answer: Response) -> dict[str, Any]:
+    document = answer.document()
     if type(document) is not dict:
         raise ProtocolError("the response is not an object")
     return document
@@ -293,8 +293,8 @@
     return _parse_resource(_JOBS, document)
 
 
-def _parse_listing(response: Response, kind: ResourceKind[T]) -> Listing[T]:
-    document = _parse_object(response)
+def _parse_listing(answer: Response, kind: ResourceKind[T]) -> Listing[T]:
+    document = _parse_object(answer)
     version, items = document.get("version"), document.get("items")
     if type(version) is not int or type(items) is not list:
         raise ProtocolError("the response contains no version or no list")
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -239,14 +239,14 @@
             self._chunks.get_nowait()
 
 
-async def _shield(response: asyncio.Future[HTTPResponse]) -> HTTPResponse:
+async def _shield(answer: asyncio.Future[HTTPResponse]) -> HTTPResponse:
     """Wait for a response; a cancelled wait logs no error.
 
     Tornado logs an error if its future is cancelled before the connection ends,
     and asyncio logs an error if the exception of a future is never retrieved.
     """
-    response.add_done_callback(lambda done: done.cancelled() or done.exception())
-    return await asyncio.shield(response)
+    answer.add_done_callback(lambda done: done.cancelled() or done.exception())
+    return await asyncio.shield(answer)
 
 
 def _transport_error(method: str, error: Exception) -> MarjoramgradeError:
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -208,8 +208,8 @@
             async with Client.from_url(second.url, secret) as client:
                 spec = model.JobSpec("a", model.JobKind.BATCH, tasks=2, run_ms=20)
                 assert (await client.submit(spec, "j1")).spec == spec
-                response = await client.run("charity-accounts", b'{"work_ms":5}')
-                assert response == b'{"work_ms":5}'
+                answer = await client.run("charity-accounts", b'{"work_ms":5}')
+                assert answer == b'{"work_ms":5}'
                 done = await asyncio.wait_for(watching, 20)
                 assert done == (await client.get_job("j1")).outcomes == "dd"
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -30,14 +30,14 @@
             first, second = cell.running_entries()
             body = {"work_ms": 5, "case": "0042"}
             for request_id, entry in (("check-1", first), ("check-2", second)):
-                response = await cell.fetch(
+                answer = await cell.fetch(
                     entry.url + SERVICE_PATH,
                     "POST",
                     body=body,
                     secret=secret,
                     headers={"Request-Id": request_id},
                 )
-                assert (response.code, json.loads(response.body)) == (200, body)
+                assert (answer.code, json.loads(answer.body)) == (200, body)
             spec = {"team": "hospices", "kind": "batch", "tasks": 20, "run_ms": 20}
             accepted = await cell.fetch(
                 f"{first.url}/v1/jobs",
@@ -64,14 +64,14 @@
             await cell.wait_for_shards()
             status_codes = []
             for entry in cell.running_entries():
-                response = await cell.fetch(
+                answer = await cell.fetch(
                     entry.url + SERVICE_PATH,
                     "POST",
                     body={},
                     secret=secret,
                     headers={"Request-Id": "posting-7"},
                 )
-                status_codes.append(response.code)
+                status_codes.append(answer.code)
             assert status_codes == [200, 409]
             backends = await cell.counters("backend")
             runs = sum((Counter(b["runs"]) for b in backends.values()), Counter())
