--- a/marjoramgrade/decisions/advisorchannels.py
+++ b/marjoramgrade/decisions/advisorchannels.py
@@ -13,13 +13,13 @@
 # Longer calls leave one channel free for shorter ones.
 LONG_CALL_MS = 150
 # Limit on the total expected duration of the calls pending on one channel. Further
-# calls are chosen later, for the steps that need them most by then.
+# calls are deferred and later made for the steps that need them most by then.
 MAX_CHANNEL_BACKLOG_MS = 300
 # Back-off after a call through an instance failed; doubles with each failure. It
 # starts short, since right after a restart the next attempt is likely to succeed.
 INITIAL_BACKOFF_MS = 250
 MAX_BACKOFF_MS = 4_000
-# A call that took this long to fail met an unresponsive instance, and each further
+# A call that took this long to fail went to an unresponsive instance, and each further
 # attempt would delay a step as long; a refused or broken connection fails sooner.
 UNRESPONSIVE_CALL_MS = 500
 
@@ -50,8 +50,8 @@
         if not usable:
             return None
         chosen = min(usable, key=self.pending_ms)
-        waiting_ms = self.pending_ms(chosen)
-        if waiting_ms and waiting_ms + decide_ms > MAX_CHANNEL_BACKLOG_MS:
+        backlog_ms = self.pending_ms(chosen)
+        if backlog_ms and backlog_ms + decide_ms > MAX_CHANNEL_BACKLOG_MS:
             return None
         return chosen
 
@@ -69,7 +69,7 @@
         self._pending_ms_by_id[instance_id] = self.pending_ms(instance_id) + decide_ms
 
     def ended(self, instance_id: str, decide_ms: int) -> None:
-        """Record that a call was answered or abandoned."""
+        """Record that a call returned, failed or was abandoned."""
         self._pending_ms_by_id[instance_id] -= decide_ms
 
     def record_answer(self, instance_id: str) -> None:
@@ -77,7 +77,7 @@
         self._backoff_ms_by_id.pop(instance_id, None)
 
     def avoid(self, instance_id: str, took_ms: int, now_ms: int) -> None:
-        """Make no calls through an instance during its back-off.
+        """Start the back-off of an instance, during which it gets no calls.
 
         Args:
             instance_id: Instance whose call failed.
@@ -95,7 +95,7 @@
 
         Args:
             version_by_id: Registration versions by instance ID; a changed version
-                belongs to a new process, which may answer.
+                belongs to a new process, which may respond.
         """
         for instance_id, version in version_by_id.items():
             if self.version_by_id.get(instance_id) != version:
--- a/marjoramgrade/decisions/durations.py
+++ b/marjoramgrade/decisions/durations.py
@@ -30,7 +30,7 @@
 
         Args:
             queue: Name of the queue.
-            estimate_ms: The caller's rough estimate, used until the first task of the
+            estimate_ms: The client's rough estimate, used until the first task of the
                 queue is done.
         """
         return self._average_by_queue.get(queue, float(estimate_ms))
--- a/marjoramgrade/decisions/leadermonitor.py
+++ b/marjoramgrade/decisions/leadermonitor.py
@@ -6,7 +6,7 @@
 
 # A leader that sends no heartbeats counts as down once its row has been unchanged for
 # this long. An unnecessary takeover costs a new fencing token for each worker; a late
-# one delays every waiting caller.
+# one delays every waiting client.
 STALE_MS = 550
 # The same limit if no heartbeat was received or the process is known to refuse
 # connections or to have left.
--- a/marjoramgrade/decisions/outcomes.py
+++ b/marjoramgrade/decisions/outcomes.py
@@ -13,8 +13,8 @@
 
     Attributes:
         outcome_by_index: Final outcomes by task index.
-        worker_by_task: Workers that may discard the end of a task once the outcome is
-            written.
+        worker_by_task: Workers that store the end of a task and may discard it once the
+            outcome is written.
     """
 
     outcome_by_index: dict[int, Outcome] = attrs.field(factory=dict)
--- a/marjoramgrade/decisions/stepactions.py
+++ b/marjoramgrade/decisions/stepactions.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class StopRun:
-    """Stop a run; its end is listed later."""
+    """Stop a run; a later listing of the worker contains its end."""
 
     worker_id: str
     fence: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class SyncWorker:
-    """List a worker under a higher fence, so that no earlier order takes effect."""
+    """List a worker under a higher fencing token, so that it rejects earlier orders."""
 
     worker_id: str
     fence: int
--- a/marjoramgrade/decisions/stepplacement.py
+++ b/marjoramgrade/decisions/stepplacement.py
@@ -8,6 +8,7 @@
 from marjoramgrade.decisions.stepworkers import WorkerState
 from marjoramgrade.registry import Registry
 
+# Returns the sort key of a worker for a task of a step; the lowest key is chosen.
 StepPlacement = Callable[[StepProgress, WorkerState], tuple[float, ...]]
 STEP_PLACEMENTS: Registry[StepPlacement] = Registry("step placement")
 
@@ -66,8 +67,8 @@
     step: StepProgress, candidates: Iterable[WorkerState]
 ) -> WorkerState | None:
     """Return the best candidate for one task, or None if there are none."""
-    place = placement_of(step)
-    return min(candidates, key=lambda worker: place(step, worker), default=None)
+    sort_key = placement_of(step)
+    return min(candidates, key=lambda worker: sort_key(step, worker), default=None)
 
 
 def _rack_penalty(step: StepProgress, worker: WorkerState) -> float:
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -60,10 +60,10 @@
     def apply_advice(
         self, asked: AskAdvice, text_by_worker: Mapping[str, str], until_ms: int
     ) -> None:
-        """Apply the advisor's answer.
+        """Apply the advisor's response.
 
         Args:
-            asked: The advice call that was answered.
+            asked: The advice call that returned the response.
             text_by_worker: Tickets by ID of the workers that may run the step.
             until_ms: Time at which the tickets expire.
         """
@@ -160,7 +160,7 @@
     def place_task(
         self, step: StepProgress, index: int, permitted: list[WorkerState], now_ms: int
     ) -> bool:
-        """Order the start of one task if a worker has capacity."""
+        """Order the start of one task; return False if no worker has capacity."""
         fitting = self.candidates(step, index, permitted, now_ms)
         worker = choose_worker(step, fitting)
         if worker is None:
@@ -178,7 +178,7 @@
 
     def _collect_waiting(self, now_ms: int, unix_ms: int) -> list[WaitingStep]:
         return [
-            self._describe(step, now_ms, unix_ms)
+            self._to_waiting_step(step, now_ms, unix_ms)
             for progress in self.state.open_job_by_id.values()
             if not progress.state.is_final
             for step in self._iter_waiting(progress, now_ms, unix_ms)
@@ -192,7 +192,9 @@
             if step.has_waiting:
                 yield step
 
-    def _describe(self, step: StepProgress, now_ms: int, unix_ms: int) -> WaitingStep:
+    def _to_waiting_step(
+        self, step: StepProgress, now_ms: int, unix_ms: int
+    ) -> WaitingStep:
         progress = step.job
         queue = progress.queue
         task_ms = self.state.durations.expected_ms(queue.name, step.step.estimate_ms)
@@ -251,7 +253,7 @@
     def _choose_gang_workers(
         self, step: StepProgress, permitted: list[WorkerState], now_ms: int
     ) -> list[WorkerState] | None:
-        """Return a worker for each task of a gang, or None if not all tasks fit."""
+        """Return one worker per task of a gang, or None if not all tasks fit."""
         need, spare = step.step.resources, step.step.uses_spare
         max_runs = step.step.max_per_worker or step.step.count
         slots: list[WorkerState] = []
@@ -276,6 +278,7 @@
 
     @staticmethod
     def _prefer_one_rack(slots: list[WorkerState], count: int) -> list[WorkerState]:
+        """Return the slots of the smallest sufficient rack, or all if none suffices."""
         by_rack: dict[str, list[WorkerState]] = {}
         for worker in slots:
             by_rack.setdefault(worker.worker.rack, []).append(worker)
@@ -288,7 +291,7 @@
         if advice is None or cache.is_pending or now_ms < cache.next_call_ms:
             return
         if self.channels.choose(math.ceil(advice.base_ms), now_ms) is None:
-            # No channel has time even for the shortest call.
+            # No channel is free even for the shortest call.
             return
         need, spare = step.step.resources, step.step.uses_spare
         unticketed = [
@@ -300,12 +303,14 @@
             and worker.has_capacity(need, uses_spare=spare)
         ]
         unticketed.sort(key=lambda worker: -worker.free_cpu_millis)
-        asked = cache.workers_to_ask(w.worker.worker_id for w in unticketed)[
+        workers_to_ask = cache.workers_to_ask(w.worker.worker_id for w in unticketed)[
             :MAX_WORKERS_PER_CALL
         ]
-        if not asked:
+        if not workers_to_ask:
             return
-        decide_ms = math.ceil(advice.base_ms + advice.per_worker_ms * len(asked))
+        decide_ms = math.ceil(
+            advice.base_ms + advice.per_worker_ms * len(workers_to_ask)
+        )
         instance_id = self.channels.choose(decide_ms, now_ms)
         if instance_id is None:
             return
@@ -313,5 +318,7 @@
         cache.is_pending = True
         job_id, occurrence, index = step.key
         self.state.add_action(
-            AskAdvice(job_id, occurrence, index, tuple(asked), instance_id, decide_ms)
+            AskAdvice(
+                job_id, occurrence, index, tuple(workers_to_ask), instance_id, decide_ms
+            )
         )
--- a/marjoramgrade/decisions/steppreemption.py
+++ b/marjoramgrade/decisions/steppreemption.py
@@ -24,8 +24,8 @@
 class Preemption:
     """Preempts less urgent runs when a team's limit or a worker's capacity is used up.
 
-    An instance is valid for one plan: it indexes the runs once, since a team gains no
-    preemptible runs during a plan.
+    A `Preemption` is valid for one plan: it indexes the runs once, since a team gains
+    no preemptible runs during a plan.
 
     Attributes:
         state: Jobs and workers.
@@ -34,7 +34,7 @@
     state: StepState
     _is_indexed: bool = False
     _runs_by_team: dict[str, list[Run]] = attrs.field(factory=dict)
-    _leaving_by_team: dict[str, Resources] = attrs.field(factory=dict)
+    _stopping_resources_by_team: dict[str, Resources] = attrs.field(factory=dict)
     _victims_by_team_priority: dict[tuple[str, int], list[Run]] = attrs.field(
         factory=dict
     )
@@ -50,8 +50,8 @@
         runs = self._runs_of(team)
         waiting = sum(1 for _ in step.iter_waiting())
         used = self.state.usage.used_by_team.get(team, ZERO_RESOURCES)
-        missing = used + step.step.resources.scaled(waiting, 1)
-        missing = missing - self._leaving_by_team.get(team, ZERO_RESOURCES)
+        demand = used + step.step.resources.scaled(waiting, 1)
+        demand = demand - self._stopping_resources_by_team.get(team, ZERO_RESOURCES)
         team_priority = (team, step.job.queue.priority)
         if team_priority not in self._victims_by_team_priority:
             self._victims_by_team_priority[team_priority] = self._victims(
@@ -63,9 +63,9 @@
             if run.phase is RunPhase.RUNNING
         )
         for run in itertools.islice(victims, MAX_VICTIMS):
-            if is_within(missing, policy.limit):
+            if is_within(demand, policy.limit):
                 return
-            missing = missing - run.step.step.resources
+            demand = demand - run.step.step.resources
             self._stop(run, "makes_way_in_team")
 
     def free_worker_capacity(
@@ -95,7 +95,7 @@
     def _victims_on(
         self, step: StepProgress, worker: WorkerState, now_ms: int
     ) -> list[Run] | None:
-        """Return the runs to stop so that a task fits, or None if none suffice."""
+        """Return the runs to stop so that a task fits, or None if it cannot fit."""
         max_runs = step.step.max_per_worker
         if max_runs and step.count_runs_on(worker.worker.worker_id) >= max_runs:
             return None
@@ -143,17 +143,17 @@
             for run in worker.run_by_task.values():
                 self._runs_by_team.setdefault(run.step.job.job.team, []).append(run)
                 if run.phase is RunPhase.STOPPING:
-                    self._record_leaving(run)
+                    self._record_stopping(run)
 
-    def _record_leaving(self, run: Run) -> None:
+    def _record_stopping(self, run: Run) -> None:
         team = run.step.job.job.team
-        leaving = self._leaving_by_team.get(team, ZERO_RESOURCES)
-        self._leaving_by_team[team] = leaving + run.step.step.resources
+        leaving = self._stopping_resources_by_team.get(team, ZERO_RESOURCES)
+        self._stopping_resources_by_team[team] = leaving + run.step.step.resources
 
     def _stop(self, run: Run, reason: str) -> None:
         self._index_runs()
         self.state.stop_run(run, reason)
-        self._record_leaving(run)
+        self._record_stopping(run)
 
 
 def _loss(runs: Iterable[Run], now_ms: int) -> float:
--- a/marjoramgrade/decisions/steppriority.py
+++ b/marjoramgrade/decisions/steppriority.py
@@ -25,11 +25,11 @@
 
 @attrs.frozen
 class WaitingStep:
-    """A waiting step with the times that its order depends on.
+    """A waiting step with the times that decide its place in the order.
 
     Attributes:
         step: The step.
-        objective_ms: Time by which its job should complete, on our clock.
+        objective_ms: Time by which its job should complete, on this instance's clock.
         remaining_ms: Estimated duration of the longest remaining chain of steps.
     """
 
--- a/marjoramgrade/decisions/stepprogress.py
+++ b/marjoramgrade/decisions/stepprogress.py
@@ -15,8 +15,8 @@
 
 # Known durations that a step needs before its usual duration is computed.
 MIN_DURATION_SAMPLES = 3
-# A run that takes this many times the usual duration is on a slow worker; durations
-# within a step differ by a third.
+# A run that takes this many times the usual duration is taken to be on a slow worker;
+# durations within a step differ by a third.
 SLOW_FACTOR = 3.2
 
 
@@ -130,7 +130,7 @@
         return sum(1 for run in self.iter_runs() if run.worker_id == worker_id)
 
     def shared_index(self, index: int) -> int:
-        """Return the task under which failures and checkpoints are stored."""
+        """Return the task index under which failures and checkpoints are stored."""
         return 0 if self.step.gang else index
 
     def checkpoint_of(self, index: int) -> str:
@@ -182,7 +182,13 @@
 
 @attrs.frozen
 class PlacedRun:
-    """A run that a worker has or may have."""
+    """A run that a worker has or may have.
+
+    Attributes:
+        index: Index of the task in its step.
+        run: Number of the run.
+        worker_id: The worker.
+    """
 
     index: int
     run: int
@@ -232,14 +238,14 @@
         job: The job as submitted.
         queue: The queue of the job.
         accepted_ms: When the job was accepted, on this instance's clock.
-        stored: Whether the job is in the store; callers see only stored jobs.
+        stored: Whether the job is in the store; clients see only stored jobs.
         state: The current state.
         steps_by_occurrence: Steps of the occurrences that have become due.
         started: Whether any task of the job has ever started.
         beyond_weight: Whether the team had used up its weight when the job arrived.
         occurrences_done: All occurrences below this number are done.
         ended_unix_ms: When the job reached a final state, or 0.
-        visible_state: The state in the store, which callers see.
+        visible_state: The state that clients see; a final state only once it is stored.
     """
 
     job: StepJob
@@ -266,7 +272,7 @@
         return steps
 
     def step_of(self, task: TaskRef) -> StepProgress | None:
-        """Return the step that a task belongs to, or None if there is none."""
+        """Return the step of a task; None if unknown or its occurrence is done."""
         if not 0 <= task.occurrence < self.job.occurrences:
             return None
         if task.occurrence < self.occurrences_done:
@@ -317,7 +323,7 @@
         return length
 
     def close_done_occurrences(self) -> None:
-        """Discard the steps of leading occurrences whose tasks are all done."""
+        """Discard the steps of the earliest occurrences once done and without runs."""
         while self.occurrences_done < self.job.occurrences:
             steps = self.steps_by_occurrence.get(self.occurrences_done)
             if steps is None or not all(step.is_done for step in steps):
--- a/marjoramgrade/decisions/steprun.py
+++ b/marjoramgrade/decisions/steprun.py
@@ -38,16 +38,17 @@
         ordered_ms: When the start was ordered.
         running_since_ms: When the start was confirmed, or 0.
         percent: Progress, 0 to 100.
-        progressed_ms: When `percent` last changed, or the run was last paced.
+        progressed_ms: When `percent` or `share` last changed.
         measured_percent: Progress at the last measurement of the speed.
-        measured_ms: When the speed was last measured, or the run started or was paced.
+        measured_ms: When the speed was last measured, the run started or `share`
+            changed.
         recent_total_ms: Total duration at the speed last measured, or None.
         checkpoint: Newest checkpoint, or empty.
         checkpointed_ms: When `checkpoint` was first reported, or 0.
         measurement: See `RunReport.measurement`.
-        share: Percentage of full speed that the run is paced to.
-        above_target_ms: Since when the latency exceeds its target, or 0.
-        idle_since_ms: Since when a long-running task does no work, or 0.
+        share: Percentage of its full speed that the run is limited to; see `PaceRun`.
+        above_target_ms: Time since which the latency exceeds its target, or 0.
+        idle_since_ms: Time since which a long-running task does no work, or 0.
         stop_reason: Why the run is being stopped, or empty.
     """
 
@@ -86,7 +87,7 @@
             self.measured_percent, self.measured_ms = percent, now_ms
 
     def change_share(self, share: int, now_ms: int) -> None:
-        """Record that the run is paced, and restart the measurement of its speed."""
+        """Record a new limit of the speed and restart the measurement of the speed."""
         self.share = share
         self.progressed_ms = self.measured_ms = now_ms
         self.measured_percent, self.recent_total_ms = self.percent, None
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -56,7 +56,7 @@
         return run
 
     def record_start_unknown(self, worker_id: str, task: TaskRef, number: int) -> None:
-        """List a worker that may or may not have started a run."""
+        """Request a listing of a worker that may or may not have started a run."""
         run = self._find_run(worker_id, task, number)
         worker = self.worker_by_id.get(worker_id)
         if run is not None and not run.running_since_ms and worker is not None:
@@ -75,11 +75,11 @@
 
         Args:
             worker: The worker.
-            listing: Its runs and the ends that were not acknowledged.
-            fence: Fence of the call that the listing answers.
+            listing: Its runs and the ends that it has not seen acknowledged.
+            fence: Fencing token of the call that returned the listing.
             asked_ms: When the call was sent.
-            now_ms: The time.
-            unix_ms: The time of day.
+            now_ms: Current time.
+            unix_ms: Current time, in Unix time.
         """
         if listing.born_unix_ms < worker.worker.born_unix_ms:
             return
@@ -108,7 +108,7 @@
     def _reconcile(
         self, worker: WorkerState, running: tuple[RunReport, ...], now_ms: int
     ) -> None:
-        """Reconcile the runs of a worker; orders under lower fences have no effect."""
+        """Reconcile the runs of a worker; orders under lower tokens have no effect."""
         worker.synced = True
         present = {(report.task, report.run) for report in running}
         for key, run in list(worker.run_by_task.items()):
--- a/marjoramgrade/decisions/stepsupervision.py
+++ b/marjoramgrade/decisions/stepsupervision.py
@@ -16,8 +16,8 @@
 # A task that allows speculative copies gets one once its worker has been
 # unresponsive for this long.
 UNRESPONSIVE_MS = 200
-# A run without any progress for this long is stalled. The limit is higher for long
-# tasks, since one percent of a long task takes longer.
+# A run without any progress for this long, and for this share of its expected
+# duration, is stalled: one percent of a long task takes longer.
 STALL_MS = 1_200
 STALL_SHARE = 0.25
 # A task that stalled or was slow on this many workers is assumed to be long and is
@@ -27,6 +27,7 @@
 IDLE_MS = 2_500
 # Best-effort work beside a task above its latency target is slowed by one pace step
 # per interval, and sped up by one step per recovery interval once the target is met.
+# The steps are percentages of full speed.
 PACE_INTERVAL_MS = 500
 PACE_RECOVERY_INTERVAL_MS = 2_000
 PACE_STEPS = (100, 40, 0)
@@ -77,6 +78,7 @@
                 )
 
     def _is_stop_due(self, key: tuple[object, int], now_ms: int) -> bool:
+        """Return whether to repeat a stop; the first call only records the time."""
         since_ms = self._stop_sent_ms_by_run.get(key)
         if since_ms is None or now_ms - since_ms >= STOP_RETRY_MS:
             self._stop_sent_ms_by_run[key] = now_ms
@@ -99,7 +101,7 @@
         if step.job.state.is_final:
             return
         if step.step.gang:
-            self._watch_gang(step)
+            self._stop_incomplete_gang(step)
             return
         usual_ms = step.usual_duration_ms()
         for run in list(step.iter_runs()):
@@ -109,15 +111,17 @@
             if worker is None:
                 continue
             if not worker.synced:
-                self._copy_unresponsive(run, worker, now_ms)
+                self._start_copy_if_unresponsive(run, worker, now_ms)
             elif worker.worker.draining:
                 self._stop_on_draining(run, worker)
             elif step.step.long_running:
-                self._watch_long_running(run, worker, now_ms)
+                self._check_long_running(run, worker, now_ms)
             else:
-                self._watch_progress(run, worker, usual_ms, now_ms)
+                self._check_progress(run, worker, usual_ms, now_ms)
 
-    def _copy_unresponsive(self, run: Run, worker: WorkerState, now_ms: int) -> None:
+    def _start_copy_if_unresponsive(
+        self, run: Run, worker: WorkerState, now_ms: int
+    ) -> None:
         """Start a speculative copy, if allowed, of a run on an unresponsive worker."""
         step, index = run.step, run.task.index
         is_unresponsive = (
@@ -131,7 +135,7 @@
                 step, index, self.planner.permitted(step, now_ms), now_ms
             )
 
-    def _watch_gang(self, step: StepProgress) -> None:
+    def _stop_incomplete_gang(self, step: StepProgress) -> None:
         """Stop the remaining runs of a gang that has lost a member."""
         if not step.has_waiting:
             return
@@ -144,7 +148,7 @@
         if step.long_running or (step.checkpoints and run.checkpoint):
             self.state.stop_run(run, "worker_leaves")
 
-    def _watch_long_running(self, run: Run, worker: WorkerState, now_ms: int) -> None:
+    def _check_long_running(self, run: Run, worker: WorkerState, now_ms: int) -> None:
         if run.percent >= 100:
             run.idle_since_ms = 0
             return
@@ -153,7 +157,7 @@
         elif now_ms - run.idle_since_ms >= IDLE_MS:
             self._move(run, worker, "not_at_work", now_ms)
 
-    def _watch_progress(
+    def _check_progress(
         self, run: Run, worker: WorkerState, usual_ms: float | None, now_ms: int
     ) -> None:
         is_starved = run.step.step.uses_spare and worker.free_cpu_millis <= 0
@@ -236,6 +240,7 @@
     def _change_pace(
         self, worker: WorkerState, spare: list[Run], direction: int, now_ms: int
     ) -> None:
+        """Slow (direction 1) or speed up (-1) best-effort runs by one pace step."""
         for run in spare:
             position = PACE_STEPS.index(run.share) + direction
             if not 0 <= position < len(PACE_STEPS):
--- a/marjoramgrade/decisions/steptracker.py
+++ b/marjoramgrade/decisions/steptracker.py
@@ -30,8 +30,8 @@
     TaskRef,
 )
 
-# Size of the range of run numbers and of fences in each epoch; the ranges rise with
-# the epoch and don't overlap.
+# Sizes of the ranges of run numbers and of fencing tokens in each epoch; the ranges
+# rise with the epoch and don't overlap.
 RUNS_PER_EPOCH = 1_000
 FENCES_PER_EPOCH = 10_000
 
@@ -64,7 +64,7 @@
 
     @property
     def first_fence(self) -> int:
-        """The lowest fence of the current epoch."""
+        """The lowest fencing token of the current epoch."""
         return self.epoch * FENCES_PER_EPOCH
 
     def pop_actions(self) -> list[StepAction]:
@@ -187,7 +187,7 @@
                 state.worker = worker
 
     def add_worker(self, worker: StepWorker) -> WorkerState:
-        """Add a worker; it gets work after a listing under its current fence."""
+        """Add a worker; it gets work after a listing under its current token."""
         state = WorkerState(worker, fence=self.first_fence)
         self.worker_by_id[worker.worker_id] = state
         self.add_action(SyncWorker(worker.worker_id, state.fence))
@@ -198,7 +198,7 @@
         del self.worker_by_id[worker_id]
 
     def request_sync(self, worker: WorkerState) -> None:
-        """Raise a worker's fence, so that unanswered orders have no effect."""
+        """Raise a worker's fencing token, so that unanswered orders have no effect."""
         worker.fence += 1
         worker.synced = False
         self.add_action(SyncWorker(worker.worker.worker_id, worker.fence))
@@ -206,9 +206,9 @@
     def _mark_restarted(self, worker: WorkerState) -> None:
         """Handle a restart of a worker.
 
-        The new incarnation has seen no fence yet, so an order to the earlier
+        The new incarnation has seen no fencing token yet, so an order to the earlier
         incarnation may still arrive late and take effect. The next listing under a
-        higher fence shows which placed runs exist, as after any unanswered order.
+        higher token shows which placed runs exist, as after any unanswered order.
         """
         worker.orphan_by_task.clear()
         worker.last_end_number = 0
@@ -216,7 +216,7 @@
             self.request_sync(worker)
 
     def expire_worker(self, worker: WorkerState) -> None:
-        """Mark all runs of an unresponsive worker lost; their leases have expired."""
+        """Mark all runs of an unresponsive worker as lost after its lease expired."""
         for run in list(worker.run_by_task.values()):
             self.mark_run_lost(run)
         worker.orphan_by_task.clear()
@@ -254,13 +254,13 @@
     def may_send_start(self, run: Run, ticket: str, now_ms: int) -> bool:
         """Return whether a start may be sent now that its placement is stored.
 
-        During the write the job may have been cancelled or the worker drained or its
+        During the write, the job may have been cancelled, the worker drained or its
         zone evacuated. If the store was unavailable, the ticket may have expired.
 
         Args:
             run: The placed run.
             ticket: The ticket in the order, or empty.
-            now_ms: The time.
+            now_ms: Current time.
         """
         worker = self.worker_by_id[run.worker_id].worker
         if run.phase is RunPhase.STOPPING or worker.draining:
@@ -294,10 +294,10 @@
             self.send_stop(run)
 
     def send_stop(self, run: Run) -> None:
-        """Send the stop of a run; may be repeated if the answer was lost.
+        """Send the stop of a run; may be repeated if the response was lost.
 
         A worker that is not synced gets the stop after its next listing under the
-        current fence.
+        current fencing token.
         """
         worker = self.worker_by_id.get(run.worker_id)
         if worker is not None and worker.synced:
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -20,7 +20,7 @@
 
 @attrs.define
 class WorkerSuspicion:
-    """Whether a responsive worker is healthy enough for more work.
+    """Suspicion that a responsive worker is faulty, from the results of its runs.
 
     Attributes:
         failed_jobs: Jobs with a failed run since the last success.
@@ -82,17 +82,17 @@
     Attributes:
         worker: The worker as registered.
         listed: Whether the platform still lists the worker.
-        synced: Whether the worker has answered a listing under `fence`.
-        fence: Fence of the orders to the worker.
+        synced: Whether the worker has returned a listing under `fence`.
+        fence: Fencing token of the orders to the worker.
         suspicion: Whether the worker is healthy enough for more work.
         run_by_task: Runs that the worker has or may have, by task and run number.
         used: Resources of the runs, except best-effort ones.
         spare_used: Resources of the best-effort runs, which use spare processor time.
         orphan_by_task: Runs on the worker that belong to no open task and are being
             stopped, by task and run number.
-        has_unanswered_call: Whether the worker did not answer the last listing.
-        last_end_number: Highest number of an end that was applied.
-        unresponsive_since_ms: Since when the worker does not respond, or 0.
+        has_unanswered_call: Whether the worker's last listing call got no response.
+        last_end_number: Highest `RunEnd.number` that was applied.
+        unresponsive_since_ms: Time since which the worker does not respond, or 0.
     """
 
     worker: StepWorker
--- a/marjoramgrade/decisions/teamusage.py
+++ b/marjoramgrade/decisions/teamusage.py
@@ -22,6 +22,7 @@
     """
 
     used_by_team: dict[str, Resources] = attrs.field(factory=dict)
+    # Tokens in the bucket of each team and the time of their last update.
     _tokens_by_team: dict[str, tuple[float, int]] = attrs.field(factory=dict)
 
     def add(self, team: str, amount: Resources) -> None:
--- a/marjoramgrade/decisions/tickets.py
+++ b/marjoramgrade/decisions/tickets.py
@@ -20,7 +20,7 @@
     Attributes:
         text: The ticket as issued by the advisor.
         born_unix_ms: Start of the worker's incarnation, in Unix time.
-        valid_until_ms: Expiry, on our clock.
+        valid_until_ms: Expiry, on this instance's clock.
     """
 
     text: str
@@ -30,11 +30,11 @@
 
 @attrs.define
 class TicketCache:
-    """The advisor's answers for one step.
+    """The advisor's responses for one step.
 
     Attributes:
         ticket_by_worker: The newest ticket of each worker that may run the step.
-        asked_workers: Workers that the advisor has accepted or rejected.
+        asked_workers: IDs of workers that the advisor has accepted or rejected.
         is_pending: Whether a call is in progress.
         next_call_ms: Earliest time of the next call.
     """
@@ -75,7 +75,7 @@
     def record(
         self, asked: Iterable[str], ticket_by_worker: Mapping[str, Ticket]
     ) -> None:
-        """Apply the answer to a call."""
+        """Apply the response to a call."""
         self.is_pending = False
         self.asked_workers.update(asked)
         for worker_id in asked:
--- a/marjoramgrade/decisions/workerlease.py
+++ b/marjoramgrade/decisions/workerlease.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-# Fraction by which a worker's monotonic clock may run slower than ours, as the
-# protocol specifies.
+# Fraction by which a worker's monotonic clock may run slower than this instance's, as
+# the protocol specifies.
 MAX_CLOCK_DRIFT = 0.02
 # Time between the expiry of a lease on the worker and the end of its runs.
 EXPIRY_MARGIN_MS = 250
@@ -17,11 +17,12 @@
 
     Attributes:
         clock_ms: Latest known reading of the worker's clock.
-        clock_received_ms: Time of that reading on our clock, or 0 if there is none.
+        clock_received_ms: Time of that reading on this instance's clock, or 0 if there
+            is none.
         granted_until_clock_ms: Latest expiry sent with any order, on the worker's
             clock.
-        earliest_expiry_ms: Earliest possible expiry on our clock; the only bound while
-            the worker's clock is unknown.
+        earliest_expiry_ms: Earliest possible expiry on this instance's clock; the only
+            bound while the worker's clock is unknown.
     """
 
     clock_ms: int = 0
@@ -36,8 +37,8 @@
 
     def earliest_clock_ms(self, now_ms: int) -> int:
         """Return the lowest time that the worker's clock can show."""
-        elapsed = now_ms - self.clock_received_ms
-        return self.clock_ms + int(elapsed * (1 - MAX_CLOCK_DRIFT))
+        elapsed_ms = now_ms - self.clock_received_ms
+        return self.clock_ms + int(elapsed_ms * (1 - MAX_CLOCK_DRIFT))
 
     def has_expired(self, now_ms: int) -> bool:
         """Whether the lease has expired even on the slowest permitted clock."""
