--- a/tests/steps.py
+++ b/tests/steps.py
@@ -98,7 +98,7 @@
         born_ms: int = BORN_MS,
         asked_ms: int | None = None,
     ) -> None:
-        """Apply a worker's answer to a listing call."""
+        """Apply a worker's response to a listing call."""
         worker = self.worker(worker_id)
         self.state.listed(
             worker,
@@ -119,7 +119,7 @@
     def end(
         self, start: StartRun, number: int, ending: RunEndStatus = RunEndStatus.DONE
     ) -> None:
-        """Apply a listing with the end of a run."""
+        """Apply a listing with the end of a run; `number` is that of the end."""
         task, run = start.order.task, start.order.run
         self.report_listing(
             start.worker_id, ended=(RunEnd(number, task, run, ending, ""),)
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -29,145 +29,151 @@
     return [action for action in actions if isinstance(action, AskAdvice)]
 
 
-def record_tickets(cell, progress, *worker_ids, valid_ms=2_000):
+def record_tickets(harness, progress, *worker_ids, valid_ms=2_000):
     cache = progress.open_occurrence(0)[0].tickets
-    until_ms = cell.now_ms + valid_ms
+    until_ms = harness.now_ms + valid_ms
     tickets = {w: Ticket(f"ticket-{w}", BORN_MS, until_ms) for w in worker_ids}
-    cache.record(cell.state.worker_by_id, tickets)
+    cache.record(harness.state.worker_by_id, tickets)
 
 
 def test_worker_is_never_filled_beyond_its_capacity():
     # Guards against overcommitting a worker, which starts everything that it is sent.
-    cell = StepHarness.make(worker("w", 4))
-    cell.add(job("a", Step(10, cores(1))))
-    assert len(starts(cell.plan())) == 4
-    assert starts(cell.plan()) == []
+    harness = StepHarness.make(worker("w", 4))
+    harness.add(job("a", Step(10, cores(1))))
+    assert len(starts(harness.plan())) == 4
+    assert starts(harness.plan()) == []
 
 
 def test_team_limit_holds_over_all_workers():
     # Guards against a team that exceeds its limit.
-    cell = StepHarness.make(worker("w"), worker("v"), limit=Resources(cpu_millis=3_000))
-    cell.add(job("a", Step(10, cores(1))))
-    assert len(starts(cell.plan())) == 3
+    harness = StepHarness.make(
+        worker("w"), worker("v"), limit=Resources(cpu_millis=3_000)
+    )
+    harness.add(job("a", Step(10, cores(1))))
+    assert len(starts(harness.plan())) == 3
 
 
 def test_evacuated_zone_and_draining_worker_get_nothing():
     # Guards against starts in an evacuated zone or on a draining worker.
     leaving = attrs.evolve(worker("x"), draining=True)
-    cell = StepHarness.make(worker("w", zone="south"), worker("v"), leaving)
-    cell.state.evacuated_zones = frozenset({"south"})
-    cell.add(job("a", Step(20, cores(1))))
-    assert {start.worker_id for start in starts(cell.plan())} == {"v"}
+    harness = StepHarness.make(worker("w", zone="south"), worker("v"), leaving)
+    harness.state.evacuated_zones = frozenset({"south"})
+    harness.add(job("a", Step(20, cores(1))))
+    assert {start.worker_id for start in starts(harness.plan())} == {"v"}
 
 
 def test_required_label_and_max_per_worker_are_respected():
     # Guards against tasks on workers without the label and too many on one worker.
-    cell = StepHarness.make(
+    harness = StepHarness.make(
         worker("w", labels=("fast", "r1")), worker("v", labels=("r1",))
     )
-    cell.add(job("a", Step(5, cores(1), required_label="fast", max_per_worker=2)))
-    assert [start.worker_id for start in starts(cell.plan())] == ["w", "w"]
+    harness.add(job("a", Step(5, cores(1), required_label="fast", max_per_worker=2)))
+    assert [start.worker_id for start in starts(harness.plan())] == ["w", "w"]
 
 
 def test_gang_starts_whole_or_not_at_all():
     # Guards against members that wait forever for the rest of their gang.
-    cell = StepHarness.make(worker("w", 2), worker("v", 1))
-    cell.add(job("a", Step(4, cores(1), gang=True)))
-    assert starts(cell.plan()) == []
-    cell.state.add_worker(worker("x", 1))
-    cell.report_listing("x")
-    assert len(starts(cell.plan())) == 4
+    harness = StepHarness.make(worker("w", 2), worker("v", 1))
+    harness.add(job("a", Step(4, cores(1), gang=True)))
+    assert starts(harness.plan()) == []
+    harness.state.add_worker(worker("x", 1))
+    harness.report_listing("x")
+    assert len(starts(harness.plan())) == 4
 
 
 def test_failed_task_goes_to_another_worker():
     # Guards against a task that uses up its attempts on one bad worker.
-    cell = StepHarness.make(worker("w"), worker("v"))
-    cell.add(job("a"))
-    (first,) = starts(cell.plan())
-    cell.confirm(first)
-    cell.end(first, 1, RunEndStatus.FAILED)
-    (second,) = starts(cell.plan())
+    harness = StepHarness.make(worker("w"), worker("v"))
+    harness.add(job("a"))
+    (first,) = starts(harness.plan())
+    harness.confirm(first)
+    harness.end(first, 1, RunEndStatus.FAILED)
+    (second,) = starts(harness.plan())
     assert second.worker_id != first.worker_id
 
 
 def test_advice_is_asked_once_and_used():
     # Guards against a start without a ticket, which the worker rejects.
-    cell = StepHarness.make(worker("w"), worker("v"))
-    progress = cell.add(job("a", queue=ADVISED), ADVISED)
-    actions = cell.plan()
+    harness = StepHarness.make(worker("w"), worker("v"))
+    progress = harness.add(job("a", queue=ADVISED), ADVISED)
+    actions = harness.plan()
     assert starts(actions) == []
-    (ask,) = advice_requests(actions)
-    assert set(ask.worker_ids) == {"w", "v"}
-    assert advice_requests(cell.plan()) == []
-    record_tickets(cell, progress, "v")
-    (start,) = starts(cell.plan())
+    (request,) = advice_requests(actions)
+    assert set(request.worker_ids) == {"w", "v"}
+    assert advice_requests(harness.plan()) == []
+    record_tickets(harness, progress, "v")
+    (start,) = starts(harness.plan())
     assert (start.worker_id, start.order.ticket) == ("v", "ticket-v")
 
 
 def test_advice_is_not_asked_for_a_team_at_its_limit():
     # Guards against filling the advisor's channels with calls whose tickets expire
     # unused, which delayed urgent jobs by seconds.
-    cell = StepHarness.make(worker("w"), limit=Resources(cpu_millis=500))
-    cell.add(job("a", queue=ADVISED), ADVISED)
-    assert advice_requests(cell.plan()) == []
+    harness = StepHarness.make(worker("w"), limit=Resources(cpu_millis=500))
+    harness.add(job("a", queue=ADVISED), ADVISED)
+    assert advice_requests(harness.plan()) == []
 
 
 def test_advice_that_never_reached_the_advisor_is_asked_again_at_once():
     # Guards against a step that waits for an instance that has just restarted.
-    cell = StepHarness.make(worker("w", 8))
-    cell.add(job("a", queue=ADVISED), ADVISED)
-    first = advice_requests(cell.plan())
-    cell.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
-    cell.planner.record_advice_failure(first[0], is_reached=False, now_ms=cell.now_ms)
-    again = advice_requests(cell.plan())
+    harness = StepHarness.make(worker("w", 8))
+    harness.add(job("a", queue=ADVISED), ADVISED)
+    first = advice_requests(harness.plan())
+    harness.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
+    harness.planner.record_advice_failure(
+        first[0], is_reached=False, now_ms=harness.now_ms
+    )
+    again = advice_requests(harness.plan())
     assert len(again) == 1
-    cell.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
-    cell.planner.record_advice_failure(again[0], is_reached=True, now_ms=cell.now_ms)
-    assert not advice_requests(cell.plan())
+    harness.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
+    harness.planner.record_advice_failure(
+        again[0], is_reached=True, now_ms=harness.now_ms
+    )
+    assert not advice_requests(harness.plan())
 
 
 def test_advice_for_worker_that_left_is_ignored():
-    # Guards against an answer that names a worker that has left in the meantime.
-    cell = StepHarness.make(worker("w", 8))
-    cell.add(job("a", queue=ADVISED), ADVISED)
-    question = advice_requests(cell.plan())[0]
-    until_ms = cell.now_ms + 2_000
-    cell.planner.apply_advice(question, {"w": "t", "gone": "t"}, until_ms)
-    assert [start.worker_id for start in starts(cell.plan())] == ["w"]
+    # Guards against advice that names a worker that has left in the meantime.
+    harness = StepHarness.make(worker("w", 8))
+    harness.add(job("a", queue=ADVISED), ADVISED)
+    request = advice_requests(harness.plan())[0]
+    until_ms = harness.now_ms + 2_000
+    harness.planner.apply_advice(request, {"w": "t", "gone": "t"}, until_ms)
+    assert [start.worker_id for start in starts(harness.plan())] == ["w"]
 
 
 def test_advice_is_asked_again_when_tickets_have_lapsed():
     # Guards against a step that waits forever with expired tickets.
-    cell = StepHarness.make(worker("w", 1), worker("v", 1))
-    progress = cell.add(job("a", Step(3, cores(1)), queue=ADVISED), ADVISED)
-    cell.plan()
-    record_tickets(cell, progress, "v")
-    (start,) = starts(cell.plan())
-    cell.now_ms += 3_000
-    cell.confirm(start)
-    cell.end(start, 1)
-    (ask,) = advice_requests(cell.plan())
-    assert ask.worker_ids == ("v",)
+    harness = StepHarness.make(worker("w", 1), worker("v", 1))
+    progress = harness.add(job("a", Step(3, cores(1)), queue=ADVISED), ADVISED)
+    harness.plan()
+    record_tickets(harness, progress, "v")
+    (start,) = starts(harness.plan())
+    harness.now_ms += 3_000
+    harness.confirm(start)
+    harness.end(start, 1)
+    (request,) = advice_requests(harness.plan())
+    assert request.worker_ids == ("v",)
 
 
 def test_rejected_ticket_is_asked_for_again():
     # Guards against a worker for which no ticket is requested after its restart.
-    cell = StepHarness.make(worker("w"))
-    progress = cell.add(job("a", queue=ADVISED), ADVISED)
-    cell.plan()
-    record_tickets(cell, progress, "w")
-    (start,) = starts(cell.plan())
-    run = cell.state.start_refused("w", start.order.task, start.order.run)
+    harness = StepHarness.make(worker("w"))
+    progress = harness.add(job("a", queue=ADVISED), ADVISED)
+    harness.plan()
+    record_tickets(harness, progress, "w")
+    (start,) = starts(harness.plan())
+    run = harness.state.start_refused("w", start.order.task, start.order.run)
     run.step.tickets.discard_ticket("w")
-    assert len(advice_requests(cell.plan())) == 1
+    assert len(advice_requests(harness.plan())) == 1
 
 
 def test_reason_of_waiting_steps_is_counted():
     # Guards against a load log event that does not show why a job was late.
-    cell = StepHarness.make(worker("w", 1), limit=Resources(cpu_millis=1_500))
-    cell.add(job("a", Step(2, cores(1))))
-    cell.plan()
-    assert cell.planner.waiting_by_reason == {"urgent:team_limit": 1}
+    harness = StepHarness.make(worker("w", 1), limit=Resources(cpu_millis=1_500))
+    harness.add(job("a", Step(2, cores(1))))
+    harness.plan()
+    assert harness.planner.waiting_by_reason == {"urgent:team_limit": 1}
 
 
 def on_time_share_in_burst(order):
@@ -176,35 +182,35 @@
     Reports of 6 s need three times the capacity. Then urgent jobs of 1 s arrive for
     6 s and need a third of the capacity.
     """
-    cell = StepHarness.make(*(worker(f"w{i}", 8) for i in range(6)))
-    cell.planner.order = STEP_ORDERS.get(order)
-    cell.state.durations.add("urgent", 1_000)
-    cell.state.durations.add("reports", 6_000)
+    harness = StepHarness.make(*(worker(f"w{i}", 8) for i in range(6)))
+    harness.planner.order = STEP_ORDERS.get(order)
+    harness.state.durations.add("urgent", 1_000)
+    harness.state.durations.add("reports", 6_000)
     due_ends, number = [], 0
     for index in range(20):
-        cell.add(job(f"r{index}", Step(4, cores(2)), queue=REPORTS), REPORTS)
+        harness.add(job(f"r{index}", Step(4, cores(2)), queue=REPORTS), REPORTS)
     for tick in range(160):
-        cell.now_ms += 50
+        harness.now_ms += 50
         if tick % 2 == 0 and 20 <= tick < 140:
-            cell.add(job(f"u{tick}", Step(2, cores(1))))
-        for entry in [entry for entry in due_ends if entry[0] <= cell.now_ms]:
+            harness.add(job(f"u{tick}", Step(2, cores(1))))
+        for entry in [entry for entry in due_ends if entry[0] <= harness.now_ms]:
             due_ends.remove(entry)
             number += 1
-            cell.end(entry[1], number, entry[2])
-        actions = cell.plan()
+            harness.end(entry[1], number, entry[2])
+        actions = harness.plan()
         for start in starts(actions):
-            cell.confirm(start)
+            harness.confirm(start)
             is_report = start.order.task.job_id.startswith("r")
             took_ms = 6_000 if is_report else 1_000
-            due_ends.append((cell.now_ms + took_ms, start, RunEndStatus.DONE))
+            due_ends.append((harness.now_ms + took_ms, start, RunEndStatus.DONE))
         for stop in stops(actions):
             for entry in due_ends:
                 if (entry[1].order.task, entry[1].order.run) == (stop.task, stop.run):
                     due_ends.remove(entry)
-                    ending = (cell.now_ms + 400, entry[1], RunEndStatus.STOPPED)
+                    ending = (harness.now_ms + 400, entry[1], RunEndStatus.STOPPED)
                     due_ends.append(ending)
                     break
-    urgent = [p for p in cell.state.job_by_id.values() if p.queue.name == "urgent"]
+    urgent = [p for p in harness.state.job_by_id.values() if p.queue.name == "urgent"]
     on_time = [
         progress
         for progress in urgent
@@ -227,30 +233,30 @@
     weight; each job uses one core for 1 s. No start is possible in the first 3 s, so
     that there is a late backlog.
     """
-    cell = StepHarness.make(worker("w", 64), limit=cores(4, 0))
-    red = attrs.evolve(cell.state.config.team_by_name["red"], weight=4.0)
-    cell.state.config.team_by_name["red"] = red
-    cell.state.durations.add("urgent", 1_000)
+    harness = StepHarness.make(worker("w", 64), limit=cores(4, 0))
+    red = attrs.evolve(harness.state.config.team_by_name["red"], weight=4.0)
+    harness.state.config.team_by_name["red"] = red
+    harness.state.durations.add("urgent", 1_000)
     due_ends, number = [], 0
     for tick in range(240):
-        cell.now_ms += 50
+        harness.now_ms += 50
         if tick < 200 and tick % 5 in (0, 2):
-            cell.add(job(f"u{tick}"))
-        for entry in [entry for entry in due_ends if entry[0] <= cell.now_ms]:
+            harness.add(job(f"u{tick}"))
+        for entry in [entry for entry in due_ends if entry[0] <= harness.now_ms]:
             due_ends.remove(entry)
             number += 1
             order = entry[1].order
-            cell.report_listing(
+            harness.report_listing(
                 "w",
                 running=tuple(report(start) for _, start in due_ends),
                 ended=(RunEnd(number, order.task, order.run, RunEndStatus.DONE, ""),),
             )
-        for start in starts(cell.plan()) if tick >= 60 else ():
-            cell.confirm(start)
-            due_ends.append((cell.now_ms + 1_000, start))
+        for start in starts(harness.plan()) if tick >= 60 else ():
+            harness.confirm(start)
+            due_ends.append((harness.now_ms + 1_000, start))
     on_time = [
         progress
-        for progress in cell.state.job_by_id.values()
+        for progress in harness.state.job_by_id.values()
         if progress.state.is_final
         and progress.ended_unix_ms - progress.accepted_ms <= 1_750
     ]
@@ -268,14 +274,14 @@
     # Guards against plans that saturate the leader while one team has a long queue: 150
     # such steps and 176 workers took 19 ms per plan (ledgerwell-accounts-grown
     # trouble-3).
-    cell = StepHarness.make(worker("w", 8), limit=cores(1, 0))
+    harness = StepHarness.make(worker("w", 8), limit=cores(1, 0))
     for index in range(10):
-        cell.add(job(f"u{index}"))
-    assert len(starts(cell.plan())) == 1
+        harness.add(job(f"u{index}"))
+    assert len(starts(harness.plan())) == 1
     checks = []
     monkeypatch.setattr(Planner, "eligible", lambda *arguments: checks.append(1) or [])
-    cell.plan()
-    assert cell.planner.waiting_by_reason == {"urgent:team_limit": 9}
+    harness.plan()
+    assert harness.planner.waiting_by_reason == {"urgent:team_limit": 9}
     assert not checks
 
 
@@ -283,11 +289,11 @@
     # Guards against plans that saturate the leader: each step that waited for capacity
     # checked all 176 workers 60 times a second (kbwb-arrears-grown quiet-1, a third of
     # the leader's time).
-    cell = StepHarness.make(*(worker(f"w{index}", 8) for index in range(100)))
-    progress = cell.add(job("a", Step(1, cores(16)), queue=ADVISED), ADVISED)
-    record_tickets(cell, progress, "w1", "w2")
-    cell.planner.channels.record_call("own", 1_000)
-    cell.planner.channels.record_call("peer", 1_000)
+    harness = StepHarness.make(*(worker(f"w{index}", 8) for index in range(100)))
+    progress = harness.add(job("a", Step(1, cores(16)), queue=ADVISED), ADVISED)
+    record_tickets(harness, progress, "w1", "w2")
+    harness.planner.channels.record_call("own", 1_000)
+    harness.planner.channels.record_call("peer", 1_000)
     checks = []
     accepts_work = WorkerState.accepts_work
     monkeypatch.setattr(
@@ -295,8 +301,8 @@
         "accepts_work",
         lambda self, now_ms: checks.append(1) or accepts_work(self, now_ms),
     )
-    assert starts(cell.plan()) == []
-    assert cell.planner.waiting_by_reason == {"advised:no_room": 1}
+    assert starts(harness.plan()) == []
+    assert harness.planner.waiting_by_reason == {"advised:no_room": 1}
     assert len(checks) <= 10
 
 
@@ -304,25 +310,25 @@
     # Guards against starts that workers reject after an outage of the store: 40 when it
     # recovered, although the steps could have requested new tickets (kbwb-arrears
     # trouble-3).
-    cell = StepHarness.make(worker("w", 8))
-    progress = cell.add(job("a", queue=ADVISED), ADVISED)
-    record_tickets(cell, progress, "w")
-    (start,) = starts(cell.plan())
-    run = cell.worker("w").run_by_task[(start.order.task, start.order.run)]
+    harness = StepHarness.make(worker("w", 8))
+    progress = harness.add(job("a", queue=ADVISED), ADVISED)
+    record_tickets(harness, progress, "w")
+    (start,) = starts(harness.plan())
+    run = harness.worker("w").run_by_task[(start.order.task, start.order.run)]
     ticket = start.order.ticket
-    assert cell.state.may_send_start(run, ticket, cell.now_ms)
-    cell.now_ms += 2_000
-    assert not cell.state.may_send_start(run, ticket, cell.now_ms)
-    cell.state.start_refused("w", start.order.task, start.order.run)
-    assert len(advice_requests(cell.plan())) == 1
+    assert harness.state.may_send_start(run, ticket, harness.now_ms)
+    harness.now_ms += 2_000
+    assert not harness.state.may_send_start(run, ticket, harness.now_ms)
+    harness.state.start_refused("w", start.order.task, start.order.run)
+    assert len(advice_requests(harness.plan())) == 1
 
 
 def test_worker_that_left_a_call_unanswered_gets_nothing_until_it_answers():
     # Guards against placing more work in a zone that is being cut off: a worker counted
     # as unresponsive only after two unanswered calls.
-    cell = StepHarness.make(worker("w", 8))
-    cell.worker("w").has_unanswered_call = True
-    cell.add(job("a"))
-    assert starts(cell.plan()) == []
-    cell.report_listing("w")
-    assert len(starts(cell.plan())) == 1
+    harness = StepHarness.make(worker("w", 8))
+    harness.worker("w").has_unanswered_call = True
+    harness.add(job("a"))
+    assert starts(harness.plan()) == []
+    harness.report_listing("w")
+    assert len(starts(harness.plan())) == 1
--- a/tests/test_stepstate.py
+++ b/tests/test_stepstate.py
@@ -66,7 +66,7 @@
     assert isinstance(sync, SyncWorker)
     assert sync.fence > start.fence
     assert starts(harness.plan()) == []
-    # A listing under the old fence proves nothing.
+    # A listing under the old fencing token proves nothing.
     harness.report_listing(start.worker_id, fence=start.fence)
     assert starts(harness.plan()) == []
     harness.report_listing(start.worker_id)
@@ -75,7 +75,7 @@
 
 
 def test_unanswered_start_that_is_present_goes_on():
-    # Guards against stopping a run only because the answer to its start was lost.
+    # Guards against stopping a run only because the response to its start was lost.
     harness = StepHarness.make(worker("w"))
     progress = harness.add(job("a"))
     (start,) = starts(harness.plan())
@@ -216,7 +216,7 @@
 
 
 def test_listing_of_an_earlier_incarnation_is_ignored():
-    # Guards against applying an answer that arrives after the worker restarted.
+    # Guards against applying a listing that arrives after the worker restarted.
     harness = StepHarness.make(worker("w"))
     harness.report_listing("w", born_ms=5_000)
     harness.report_listing("w", born_ms=5_000)
@@ -291,8 +291,8 @@
 
 def test_order_to_an_earlier_incarnation_may_arrive_late():
     # Guards against two runs of a task at a time: the next incarnation of a worker,
-    # which had seen no fence, executed an unanswered order after the task had been
-    # placed elsewhere (seed 1 of a 12 s soak test with a worker that crashes).
+    # which had seen no fencing token, executed an unanswered order after the task had
+    # been placed elsewhere (seed 1 of a 12 s soak test with a worker that crashes).
     harness = StepHarness.make(worker("w1", 1), worker("w2", 1))
     harness.add(job("a"))
     first = starts(harness.plan())[0]
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -37,7 +37,7 @@
 
 @attrs.define
 class FakeWorker:
-    """A worker that treats fences and runs as the platform documents them."""
+    """A worker that treats fencing tokens and runs as the platform documents them."""
 
     fence: int = 0
     running: dict = attrs.field(factory=dict)
