--- a/marjoramgrade/messages/configuration.py
+++ b/marjoramgrade/messages/configuration.py
@@ -12,13 +12,14 @@
 
 @attrs.frozen
 class ConfigConfirmed(Message[None]):
-    """The configuration in force and until when it is known to be current.
+    """The active configuration and the time until which it is known to be current.
 
     Attributes:
         config: The configuration.
-        fresh_until_ms: End of that knowledge on this instance's clock.
+        fresh_until_ms: Time on this instance's clock until which `config` is known to
+            be current.
         row_version: Commit number of the table's row.
-        read_version: Every change up to this commit number is in `config`.
+        read_version: `config` includes every change up to this commit number.
     """
 
     config: Config
@@ -29,19 +30,19 @@
 
 @attrs.frozen
 class GetConfig(Message[ConfigConfirmed]):
-    """Asks for the configuration in force."""
+    """Asks for the active configuration."""
 
 
 @attrs.frozen
 class ChangeConfig(Message[Config]):
-    """Asks for a change of one resource of the configuration.
+    """Asks to create, replace or delete one resource of the configuration.
 
     Attributes:
         kind: Plural name of the resource type, for example `teams`.
         name: Name of the resource.
         value: The new resource, or None to delete it.
-        expected_version: Version of the resource that the change is based on,
-            zero if it must not exist, None for an unconditional change.
+        expected_version: Version of the resource that the change is based on; zero if
+            the resource must not exist, None for an unconditional change.
     """
 
     kind: str
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class KeyGranted:
-    """A key that was granted; the only time its secret is shown."""
+    """A newly granted key; its secret is returned only here."""
 
     key: Key
     secret: str
@@ -70,6 +71,6 @@
 
 @attrs.frozen
 class ConfigPushed(Message[None]):
-    """Tells a peer that a newer configuration is in the table."""
+    """Tells a peer that the table holds a newer configuration."""
 
     version: int
--- a/marjoramgrade/messages/jobs.py
+++ b/marjoramgrade/messages/jobs.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class SubmitJob(Message[StoredJob]):
-    """Accepts a job durably; the same id with the same spec is accepted once."""
+    """Accepts a job durably; resubmitting the same id and spec has no effect."""
 
     job_id: str
     spec: JobSpec
@@ -33,14 +33,14 @@
 
 @attrs.frozen
 class ListJobs(Message[tuple[StoredJob, ...]]):
-    """Asks for the jobs that this instance knows, of one team or of all."""
+    """Asks for the jobs that this instance knows, of one team or of all teams."""
 
     team: str = ""
 
 
 @attrs.frozen
 class CancelJob(Message[StoredJob]):
-    """Asks that the open tasks of a job end as cancelled."""
+    """Asks to end the open tasks of a job as cancelled."""
 
     job_id: str
 
@@ -51,7 +51,7 @@
 
     Attributes:
         jobs: The jobs.
-        read_version: Every change up to this commit number has been told.
+        read_version: Every change up to this commit number has been reported.
     """
 
     jobs: tuple[StoredJob, ...]
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class ShardFence:
-    """Lets a write take effect only until the next takeover of a shard.
+    """Fencing token; a write with it is rejected after the shard's next takeover.
 
     Attributes:
         shard: Name of the shard.
@@ -84,9 +84,10 @@
     """Asks the journal to write a job row.
 
     Attributes:
-        job: The new content.
+        job: The new content of the row.
         expected_version: Version that the row must have; zero for a new row.
-        fence: The shard that the writer must still own, if it writes as owner.
+        fence: Token of the shard that the writer must still own; None if the writer
+            does not act as the owner of a shard.
     """
 
     job: Job
@@ -104,7 +105,7 @@
 
 @attrs.frozen
 class TaskStatus:
-    """The state of one task for operators."""
+    """The state of one task, as shown to operators."""
 
     task: TaskId
     state: str
@@ -130,7 +131,7 @@
     """Asks the owner of a shard for the tasks of a job.
 
     Attributes:
-        shard: The home shard of the job; empty if it is to be looked up.
+        shard: The home shard of the job; empty if it must be looked up.
         job_id: The job.
     """
 
--- a/marjoramgrade/messages/ownership.py
+++ b/marjoramgrade/messages/ownership.py
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class OwnershipChanged(Message[None]):
-    """This instance owns a shard until a time, or no longer.
+    """Reports until when this instance owns a shard, or that it lost the shard.
 
     Attributes:
         shard: Name of the shard.
-        epoch: Epoch under which it is owned.
-        until_ms: End of the authority on this instance's clock; zero if lost.
+        epoch: Epoch of the ownership.
+        until_ms: End of the ownership on this instance's clock; zero if it was lost.
         fence_version: Version of the shard's epoch row at the takeover.
     """
 
@@ -26,13 +26,13 @@
 
 @attrs.frozen
 class DrainRequests(Message[None]):
-    """Ends the requests of a shard before it is given up.
+    """Drains the requests of a shard before this instance releases the shard.
 
-    The reply comes when the requests that were sent have ended; those that wait
-    for a slot are refused and did not run.
+    The reply comes when the dispatched requests have ended. Requests that wait for
+    a slot are refused and have not run.
     """
 
 
 @attrs.frozen
 class ReleaseShards(Message[None]):
-    """Gives up every owned shard so that another instance can take it at once."""
+    """Releases every owned shard so that other instances can take over at once."""
--- a/marjoramgrade/messages/peers.py
+++ b/marjoramgrade/messages/peers.py
@@ -1,4 +1,4 @@
-"""Messages about the members and between entry instances."""
+"""Messages about the members, and messages between entry instances."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
         zone: Its availability zone.
         host: IP number.
         peer_port: TCP port for other entry instances.
-        row_version: Version of its row; a lower one was registered earlier.
-        strength: How much a leader there can do, in thousandths of a core.
+        row_version: Version of its row; members with a lower version registered
+            earlier.
+        strength: Processing capacity for a leader there, in thousandths of a core.
     """
 
     instance_id: str
@@ -55,7 +56,7 @@
 
 @attrs.frozen
 class CallOverLink(Message[Any]):
-    """Asks the link to one peer to send a message and wait for the reply."""
+    """Asks the link to one peer to send a message and to wait for the reply."""
 
     message: Message[Any]
     timeout_ms: int
@@ -63,14 +64,14 @@
 
 @attrs.frozen
 class TellOverLink(Message[None]):
-    """Asks the link to one peer to send a message, or drop it if it cannot."""
+    """Asks the link to one peer to send a message, or to drop it if sending fails."""
 
     message: Message[Any]
 
 
 @attrs.frozen
 class PeerDisconnected(Message[None]):
-    """A connection that another entry instance had dialled has ended."""
+    """A connection that another entry instance had opened has ended."""
 
     instance_id: str
 
--- a/marjoramgrade/messages/promises.py
+++ b/marjoramgrade/messages/promises.py
@@ -1,4 +1,8 @@
-"""Messages about authority while the table is unreachable."""
+"""Messages about authority while the table is unreachable.
+
+A promise is a time-limited guarantee of a peer that it makes no change that others
+rely on: it writes no configuration, takes over no shard and removes no member.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +15,28 @@
 
 @attrs.frozen
 class TableReachability(Message[None]):
-    """Whether the last read of the table was answered."""
+    """Whether the last read of the table got a response."""
 
     is_reachable: bool
 
 
 @attrs.frozen
 class Attest(Message[PromiseReply]):
-    """Asks a peer to promise that it changes nothing for a while."""
+    """Asks a peer for a promise."""
 
     request: PromiseRequest
 
 
 @attrs.frozen
 class Acknowledged:
-    """Whether a member agrees that a newcomer may change things."""
+    """Whether a member agrees that a joining member may make changes."""
 
     is_acknowledged: bool
 
 
 @attrs.frozen
 class AcknowledgeNewcomer(Message[Acknowledged]):
-    """Asks a member to agree that a newcomer may change things."""
+    """Asks a member to agree that the sender, a joining member, may make changes."""
 
     instance_id: str
     zone: str
@@ -40,38 +44,38 @@
 
 @attrs.frozen
 class BeginWrite(Message[None]):
-    """Asks for leave to write something that promises cover."""
+    """Asks for permission to send a write that a promise would rule out."""
 
     write_id: str
 
 
 @attrs.frozen
 class EndWrite(Message[None]):
-    """Tells that a write took effect or certainly never will."""
+    """Reports that a write has taken effect or certainly never will."""
 
     write_id: str
 
 
 @attrs.frozen
 class MayTakeOverShard(Message[bool]):
-    """Asks whether the newcomer rule allows a takeover."""
+    """Asks whether the rule for joining members allows a takeover of a shard."""
 
     row: ShardRow
 
 
 @attrs.frozen
 class PreviousIncarnationFound(Message[None]):
-    """An earlier life of this instance was registered under the same id."""
+    """An earlier incarnation of this instance was registered under the same id."""
 
 
 @attrs.frozen
 class ShardStandbysSet(Message[None]):
-    """Tells whose promises can extend the ownership of a shard.
+    """Names the instances whose promises can extend the ownership of a shard.
 
     Attributes:
         shard: Name of the shard.
-        guardians: Instances on its row.
-        is_proposed: Whether the row is about to be written.
+        guardians: The standbys on its row.
+        is_proposed: Whether the row is still to be written.
     """
 
     shard: str
@@ -81,14 +85,19 @@
 
 @attrs.frozen
 class ShardOwnershipEnded(Message[None]):
-    """Tells that a shard is no longer owned."""
+    """Reports that this instance no longer owns a shard."""
 
     shard: str
 
 
 @attrs.frozen
 class ConfigAttested(Message[None]):
-    """A configuration was current at a time, by the promises of all members."""
+    """The promises of all members show that a configuration was current.
+
+    Attributes:
+        version: Version of the configuration.
+        asked_ms: Time on this instance's clock at which it was current.
+    """
 
     version: int
     asked_ms: int
@@ -96,7 +105,12 @@
 
 @attrs.frozen
 class OwnershipAttested(Message[None]):
-    """Nobody takes over a shard before a time, by promises."""
+    """Promises guarantee that no instance takes over a shard before a time.
+
+    Attributes:
+        shard: Name of the shard.
+        until_ms: End of the guarantee on this instance's clock.
+    """
 
     shard: str
     until_ms: int
--- a/marjoramgrade/messages/requests.py
+++ b/marjoramgrade/messages/requests.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class RunReply:
-    """The whole answer of a backend server."""
+    """The complete response of a backend server."""
 
     status: int
     body: bytes
@@ -21,14 +21,14 @@
     """A request for a backend server.
 
     Attributes:
-        request_id: Id chosen by the caller.
-        service: The service that answers it.
-        team: The team whose key came with it.
-        key_name: The key; checked again just before the dispatch.
-        body: Opaque bytes.
+        request_id: Id chosen by the client.
+        service: The service that handles it.
+        team: The team whose key the client sent.
+        key_name: Name of the key, which is checked again just before the dispatch.
+        body: Opaque content.
         remaining_ms: Time left until the deadline when the message is sent.
         idempotent: Whether it may run more than once.
-        shard: The shard that it is routed to; empty before routing.
+        shard: The shard to which it is routed; empty before routing.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class BackendFenceReply:
-    """What a backend server answered to a new epoch."""
+    """The response of a backend server to a new epoch."""
 
     in_use: int
     slots: int
--- a/marjoramgrade/messages/routing.py
+++ b/marjoramgrade/messages/routing.py
@@ -30,9 +30,9 @@
         shard: Name of the shard.
         owner: Instance that owns it.
         epoch: Epoch of the owner.
-        total: What the workers offer.
-        free: What is not reserved.
-        queued: Tasks that wait.
+        total: Capacity of the workers.
+        free: Capacity that is not reserved.
+        queued: Number of queued tasks.
     """
 
     shard: str
@@ -45,14 +45,14 @@
 
 @attrs.frozen
 class ChooseShard(Message[str]):
-    """Asks which shard a new job should be homed in."""
+    """Asks which shard should become the home of a new job."""
 
     spec: JobSpec
 
 
 @attrs.frozen
 class InstanceSummary(Message[None]):
-    """What an entry instance tells the others about itself."""
+    """What an entry instance reports to the others about itself."""
 
     instance_id: str
     zone: str
@@ -61,12 +61,12 @@
 
 @attrs.frozen
 class Summaries:
-    """What is known of the cell.
+    """What this instance knows about the cell.
 
     Attributes:
-        dispatch: Load of the backend servers of each shard heard of lately.
-        tasks: Load of the workers of each shard heard of lately.
-        instances: The registered entry instances as last heard of.
+        dispatch: Load of the backend servers of each shard with a recent report.
+        tasks: Load of the workers of each shard with a recent report.
+        instances: The registered entry instances, as last reported.
     """
 
     dispatch: tuple[DispatchSummary, ...]
@@ -74,7 +74,7 @@
     instances: tuple[InstanceSummary, ...]
 
     def owners(self) -> set[str]:
-        """Return the instances that are known to own shards."""
+        """Return the ids of the instances that are known to own shards."""
         by_dispatch = {summary.owner for summary in self.dispatch}
         return by_dispatch | {summary.owner for summary in self.tasks}
 
--- a/marjoramgrade/messages/rows.py
+++ b/marjoramgrade/messages/rows.py
@@ -1,4 +1,4 @@
-"""Messages to whoever reads and writes the rows of the platform's store."""
+"""Messages that read and write rows of the platform's store."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class RowId:
-    """Where a row lies: its table, the part of the table, and its key."""
+    """Identifies a row by its table, the part of the table, and its key."""
 
     table: str
     part: str
@@ -20,13 +20,13 @@
 
 @attrs.frozen
 class StoredRow:
-    """A row as read.
+    """A row as read from the store.
 
     Attributes:
-        row: Where it lies.
-        value: Its content; empty for a deleted row.
+        row: Its id.
+        value: Its content; empty if the row was deleted.
         version: Version of the transaction that wrote it.
-        deleted: Whether the row was removed.
+        deleted: Whether the row was deleted.
     """
 
     row: RowId
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class RowCheck:
-    """A version that a row must have; `ABSENT` for a row that must not exist."""
+    """The version that a row must have; `ABSENT` if the row must not exist."""
 
     row: RowId
     version: int
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class RowWrite:
-    """New content of a row, or its removal."""
+    """New content of a row, or its deletion."""
 
     row: RowId
     value: bytes = b""
@@ -54,14 +54,14 @@
 
 @attrs.frozen
 class RowsCommitted:
-    """The answer to a transaction: the version of every written row."""
+    """The reply to a transaction; all written rows have this version."""
 
     version: int
 
 
 @attrs.frozen
 class CommitRows(Message[RowsCommitted]):
-    """Applies all writes if every check holds; all rows lie in one part."""
+    """Applies all writes if every check holds; all rows must be in one part."""
 
     checks: tuple[RowCheck, ...]
     writes: tuple[RowWrite, ...]
@@ -69,12 +69,12 @@
 
 @attrs.frozen
 class RowsPage:
-    """Rows as of one moment.
+    """Rows as of one point in time.
 
     Attributes:
         rows: The rows.
-        version: Newest version of the store when it answered.
-        more: Whether the range holds further rows.
+        version: Newest version of the store when it responded.
+        more: Whether the range has further rows.
     """
 
     rows: tuple[StoredRow, ...]
@@ -90,8 +90,8 @@
         table: The table.
         part: The part.
         first: Key to start from, or empty.
-        limit: Most rows to return.
-        timeout_ms: How long to wait for the store; 0 for the usual time.
+        limit: Maximum number of rows to return.
+        timeout_ms: How long to wait for the store; 0 for the default.
     """
 
     table: str
@@ -107,7 +107,7 @@
 
     Attributes:
         table: The table.
-        after: Version that is known.
+        after: Version that the reader already has.
         wait_ms: Longest time to wait for a change.
     """
 
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -1,4 +1,4 @@
-"""Messages about jobs of steps, their workers and the instance that leads."""
+"""Messages about step jobs, their workers and the leader."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 @attrs.frozen
 class StepJobAccepted:
-    """A job is stored; `created` tells whether this call brought it."""
+    """The job is stored; `created` tells whether this submission created it."""
 
     created: bool
 
 
 @attrs.frozen
 class SubmitStepJob(Message[StepJobAccepted]):
-    """Hands in a job; the same id again is the same job.
+    """Submits a job; submitting the same id again refers to the same job.
 
     Attributes:
         job: The job.
-        config_version: Configuration by which it was let through.
+        config_version: Version of the configuration under which it was admitted.
     """
 
     job: StepJob
@@ -55,21 +55,21 @@
 
 @attrs.frozen
 class CancelStepJob(Message[StepJobShown]):
-    """Asks that a job ends as cancelled, if it has not ended."""
+    """Asks to end a job as cancelled, unless it has ended."""
 
     job_id: str
 
 
 @attrs.frozen
 class PendingCount:
-    """Number of jobs that were taken and have not started."""
+    """Number of jobs that have been accepted and have not started."""
 
     count: int
 
 
 @attrs.frozen
 class CountPending(Message[PendingCount]):
-    """Asks how many jobs of a queue wait."""
+    """Asks how many accepted jobs of a queue have not started."""
 
     queue: str
     config_version: int = 0
@@ -77,12 +77,12 @@
 
 @attrs.frozen
 class LeaderBeat(Message[None]):
-    """Tells every instance who leads.
+    """Heartbeat that tells every instance who leads.
 
     Attributes:
         epoch: Number of the leadership.
         leader_id: The instance that leads.
-        clock_ms: The leader's clock, which its renewals in the store carry too.
+        clock_ms: The leader's clock; its renewals in the store contain it too.
         confirmed_age_ms: How long ago the leader sent the newest write that the store
             has confirmed.
     """
@@ -95,14 +95,14 @@
 
 @attrs.frozen
 class LeaderLeft(Message[None]):
-    """Tells every instance that the leader has given its leadership up."""
+    """Tells every instance that the leader has released its leadership."""
 
     epoch: int
 
 
 @attrs.frozen
 class LeaderAge:
-    """How long ago an instance heard the leader of an epoch."""
+    """How long ago an instance received a heartbeat of the leader of an epoch."""
 
     epoch: int
     age_ms: int
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class AskLeaderAge(Message[LeaderAge]):
-    """Asks when an instance last heard the leader."""
+    """Asks how long ago an instance last received a heartbeat of the leader."""
 
 
 @attrs.frozen
@@ -136,7 +136,7 @@
 
 @attrs.frozen
 class RequestAdvice(Message[StepAdvice]):
-    """Asks the placement advisor about a step."""
+    """Asks the placement advisor which workers may run a step."""
 
     job_id: str
     occurrence: int
@@ -146,7 +146,7 @@
 
 @attrs.frozen
 class StepConfigChanged(Message[None]):
-    """A newer configuration, or another set of evacuated zones."""
+    """The configuration or the set of evacuated zones has changed."""
 
     config: StepConfig
     evacuated_zones: frozenset[str]
@@ -154,7 +154,7 @@
 
 @attrs.frozen
 class AwaitStepConfig(Message[StepConfig]):
-    """Asks for the configuration once it has at least a version."""
+    """Asks for the configuration, waiting until it has at least a given version."""
 
     version: int
     timeout_ms: int
@@ -166,7 +166,7 @@
 
 
 class QueueVerb(enum.Enum):
-    """What a caller asks of a queue."""
+    """Operations that a client can request of a queue."""
 
     SUBMIT = "submit"
     STATE = "state"
@@ -176,13 +176,13 @@
 
 @attrs.frozen
 class QueueRequest(Message[object]):
-    """A call of a caller, before its queue is found.
+    """A client's request whose queue has not been looked up yet.
 
     Attributes:
-        verb: What is asked.
-        host: Host name that the caller used.
-        path: Path that the caller used; it ends in the id of the job, if any.
-        job: The job that is handed in, without its id, queue and team.
+        verb: The requested operation.
+        host: Host name that the client used.
+        path: Path that the client used; it ends in the id of the job, if any.
+        job: The submitted job, without its id, queue and team.
     """
 
     verb: QueueVerb
@@ -193,25 +193,25 @@
 
 @attrs.frozen
 class WorkersChanged(Message[None]):
-    """The workers that the platform lists."""
+    """The workers on the platform's list, as last read."""
 
     workers: tuple[StepWorker, ...]
 
 
 @attrs.frozen
 class WatchWorkers(Message[None]):
-    """Starts or stops the watch of the list of workers."""
+    """Starts or stops watching the list of workers."""
 
     enabled: bool
 
 
 @attrs.frozen
 class LeadershipAcquired(Message[None]):
-    """This instance leads from now on.
+    """This instance has become the leader.
 
     Attributes:
         epoch: Number of the leadership.
-        row_version: Version of the row that says so.
+        row_version: Version of the row that records the leadership.
     """
 
     epoch: int
@@ -220,23 +220,26 @@
 
 @attrs.frozen
 class ReleaseLeadership(Message[None]):
-    """Asks to give the lead up for good; answered once the store has it or failed."""
+    """Asks to release the leadership permanently.
+
+    The reply comes once the store has recorded the release or has failed.
+    """
 
 
 @attrs.frozen
 class RenewLeadership(Message[None]):
-    """Asks that the leader write that it still leads."""
+    """Asks the leader to write a renewal of its leadership."""
 
     epoch: int
 
 
 @attrs.frozen
 class LeadershipEnded(Message[None]):
-    """This instance leads no longer.
+    """This instance is no longer the leader.
 
     Attributes:
         epoch: The leadership that has ended.
-        reason: Why.
+        reason: Why it has ended.
     """
 
     epoch: int
@@ -245,7 +248,12 @@
 
 @attrs.frozen
 class LeadershipConfirmed(Message[None]):
-    """The store has confirmed the leadership at a time on our clock."""
+    """The store has confirmed the leadership.
+
+    Attributes:
+        epoch: Number of the leadership.
+        asked_ms: When the confirmed request was sent, on this instance's clock.
+    """
 
     epoch: int
     asked_ms: int
@@ -253,11 +261,11 @@
 
 @attrs.frozen
 class StorePathStatus(Message[None]):
-    """Which way to the store works.
+    """Which path to the store works.
 
     Attributes:
-        direct: Whether this instance reaches the store itself.
-        relayed: Whether another instance has just reached it for this one.
+        direct: Whether this instance reaches the store directly.
+        relayed: Whether another instance has just relayed a request to the store.
     """
 
     direct: bool
@@ -273,14 +281,14 @@
 
 @attrs.frozen
 class LeaderChanged(Message[None]):
-    """Which instance leads; empty if none is known to."""
+    """Which instance leads; the id is empty if no leader is known."""
 
     leader_id: str
     epoch: int
 
 
 class StartOutcome(enum.Enum):
-    """What became of the order to start a run."""
+    """The outcome of an order to start a run."""
 
     STARTED = "started"
     REFUSED = "refused"
@@ -289,14 +297,14 @@
 
 @attrs.frozen
 class RunStartResult(Message[None]):
-    """What became of the order to start a run.
+    """The outcome of an order to start one run.
 
     Attributes:
         worker_id: The worker.
         task: The task.
         run: Number of the run.
-        outcome: What became of it.
-        reason: Why it was refused, or empty.
+        outcome: Whether the run was started, if that is known.
+        reason: Why the order was refused, or empty.
     """
 
     worker_id: str
@@ -308,13 +316,13 @@
 
 @attrs.frozen
 class WorkerListingReceived(Message[None]):
-    """What a worker says of its runs.
+    """A worker's listing of its runs.
 
     Attributes:
         worker_id: The worker.
-        listing: Its runs.
-        fence: Fence of the call that it answers.
-        asked_ms: When the call was sent.
+        listing: The listing.
+        fence: Fencing token of the call that returned it.
+        asked_ms: When the call was sent, on this instance's clock.
     """
 
     worker_id: str
@@ -325,25 +333,25 @@
 
 @attrs.frozen
 class WorkerCallUnanswered(Message[None]):
-    """A worker left one call without an answer."""
+    """A worker did not respond to a call."""
 
     worker_id: str
 
 
 @attrs.frozen
 class ShortenListingWaits(Message[None]):
-    """Calls go unanswered, so listings must not wait long until a time."""
+    """Shortens the waits of listings until a time, since a worker did not respond."""
 
     until_ms: int
 
 
 @attrs.frozen
 class WorkerUnresponsive(Message[None]):
-    """A worker gives no answer.
+    """A worker does not respond.
 
     Attributes:
         worker_id: The worker.
-        expired: Whether whatever it ran has surely ended.
+        expired: Whether all of its runs have certainly ended.
     """
 
     worker_id: str
@@ -352,7 +360,7 @@
 
 @attrs.frozen
 class SendRunStart(Message[None]):
-    """Sends the start of a run."""
+    """Asks the link to send the start of a run to the worker."""
 
     order: StartOrder
     fence: int
@@ -360,7 +368,7 @@
 
 @attrs.frozen
 class SendRunStop(Message[None]):
-    """Sends the stop of a run."""
+    """Asks the link to send the stop of a run to the worker."""
 
     task: TaskRef
     run: int
@@ -369,7 +377,7 @@
 
 @attrs.frozen
 class SendRunPace(Message[None]):
-    """Sends a change of speed of a run."""
+    """Asks the link to send a change of speed of a run, in percent of full speed."""
 
     task: TaskRef
     run: int
@@ -379,18 +387,18 @@
 
 @attrs.frozen
 class RaiseFence(Message[None]):
-    """Lists the worker at once under a higher fence."""
+    """Raises the fencing token and requests a listing from the worker at once."""
 
     fence: int
 
 
 @attrs.frozen
 class AcknowledgeRunEnds(Message[None]):
-    """Lets a life of the worker forget ends up to a number.
+    """Lets an incarnation of the worker discard run ends up to a number.
 
     Attributes:
-        born_unix_ms: The life of the worker; each counts its ends anew.
-        number: The highest number that the store has.
+        born_unix_ms: Start of the incarnation; each one numbers its ends anew.
+        number: The highest number that is persisted in the store.
     """
 
     born_unix_ms: int
@@ -399,6 +407,6 @@
 
 @attrs.frozen
 class AllowLeaseRenewal(Message[None]):
-    """Lets the link renew the worker's lease until a time on our clock."""
+    """Lets the link renew the worker's lease until a time on this instance's clock."""
 
     until_ms: int
--- a/marjoramgrade/messages/workers.py
+++ b/marjoramgrade/messages/workers.py
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class WorkerHeartbeat(Message[None]):
-    """A worker asked for a longer lease."""
+    """A worker requested an extension of its lease."""
 
     shard: str
     worker_id: str
@@ -92,9 +92,10 @@
         epoch: Epoch of the owner.
         starts: Tasks to start.
         stops: Tasks to stop.
-        acks: Ends that are durable and may be forgotten.
-        granted_seq: Heartbeat that is answered, or zero.
-        lease_ms: Length of the granted lease from the heartbeat's sending.
+        acks: Tasks whose ends are durable and may be discarded by the worker.
+        granted_seq: Number of the heartbeat whose request is granted, or zero.
+        lease_ms: Length of the granted lease, counted from when the worker sent the
+            heartbeat.
     """
 
     epoch: int
