--- a/marjoramgrade/stepconfig.py
+++ b/marjoramgrade/stepconfig.py
@@ -1,4 +1,4 @@
-"""The configuration of queues, worker pools and teams for jobs of steps."""
+"""The configuration of queues, worker pools and teams for step jobs."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class AdvicePolicy:
-    """How the placement advisor of a queue answers.
+    """Response times and ticket validity of a queue's placement advisor.
 
     Attributes:
-        base_ms: Time of one call.
-        per_worker_ms: Further time for each worker that a call names.
+        base_ms: Fixed part of the duration of one call.
+        per_worker_ms: Additional duration for each worker that a call names.
         valid_ms: How long a ticket is valid.
     """
 
@@ -26,19 +26,20 @@
 
 @attrs.frozen
 class Queue:
-    """Where jobs are handed in.
+    """A queue to which clients submit jobs.
 
     Attributes:
         name: Name of the queue.
-        host: Host name that callers use.
-        path_prefix: Start of the paths that callers use.
+        host: Host name that clients use.
+        path_prefix: Prefix of the paths that clients use.
         pool: Pool of the workers that run its tasks.
-        priority: 0 comes first.
-        attempts: Failed runs of a task after which its job fails; 0 for one.
-        stretch: Factor of the longest chain of work in the latency objective.
-        objective_ms: Addend of the latency objective.
-        advice: How its placement advisor answers, or None if it has none.
-        public: Whether calls need no key.
+        priority: Rank among the queues; 0 comes first.
+        attempts: Failed runs of a task after which its job fails; 0 means one.
+        stretch: Factor by which the latency objective multiplies the expected duration
+            of the longest chain of steps.
+        objective_ms: Constant that the latency objective adds.
+        advice: Policy of its placement advisor, or None if it has none.
+        public: Whether clients need no key.
     """
 
     name: str
@@ -59,7 +60,7 @@
 
     Attributes:
         name: Name of the pool.
-        enforces_capacity: Whether its workers refuse what does not fit.
+        enforces_capacity: Whether its workers refuse runs that exceed their capacity.
         standby: Whether its machines are switched off.
     """
 
@@ -74,9 +75,9 @@
 
     Attributes:
         name: Name of the team.
-        secrets: Its keys.
-        weight: Its share when the workers are full, in jobs a second.
-        limit: What it may have running; an amount of 0 means no limit.
+        secrets: The secrets of its keys.
+        weight: Its share when the workers are full, in jobs per second.
+        limit: Resources that its running tasks may use; an amount of 0 means no limit.
     """
 
     name: str
@@ -87,7 +88,7 @@
 
 @attrs.frozen
 class RequestSizeLimits:
-    """Bounds of what a caller may send."""
+    """Maximum sizes of a client's request."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
@@ -98,11 +99,11 @@
     """One version of the configuration.
 
     Attributes:
-        version: Its number; rises with each change.
+        version: Version number, which increases with each change.
         queue_by_name: The queues.
         pool_by_name: The worker pools.
         team_by_name: The teams.
-        limits: Bounds of requests.
+        limits: Maximum sizes of requests.
     """
 
     version: int = 0
@@ -112,7 +113,7 @@
     limits: RequestSizeLimits = RequestSizeLimits()
 
     def find_queue(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of a path, or None."""
+        """Return the queue whose prefix is the longest match for a path, or None."""
         found = None
         for queue in self.queue_by_name.values():
             if queue.host != host or not path.startswith(queue.path_prefix):
--- a/marjoramgrade/stepjobs.py
+++ b/marjoramgrade/stepjobs.py
@@ -1,7 +1,7 @@
-"""Jobs that consist of steps of tasks, and what workers report of their runs.
+"""Step jobs, and what workers report about their runs.
 
-A job of this kind is handed in to a queue. Its steps form an acyclic graph;
-each step has a number of like tasks, and a schedule can repeat all steps.
+A step job is submitted to a queue. Its steps form an acyclic graph, each step has
+a number of identical tasks, and a schedule can repeat all steps.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 from marjoramgrade.errors import InvalidInputError
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 
-# A job of this size fits into one row of the store with room for its progress.
+# A job of this size fits into one row of the store, with space for its progress.
 MAX_STEPS = 64
 MAX_TASKS_PER_STEP = 2_000
 
 
 class StepJobState(enum.Enum):
-    """The state of a job as callers see it."""
+    """The state of a job as clients see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -30,10 +30,10 @@
     @property
     def is_final(self) -> bool:
         """Whether the job never changes again."""
-        return self in _FINAL
+        return self in _FINAL_STATES
 
 
-_FINAL = frozenset(
+_FINAL_STATES = frozenset(
     (StepJobState.COMPLETED, StepJobState.FAILED, StepJobState.CANCELLED)
 )
 
@@ -51,27 +51,28 @@
 
 @attrs.frozen
 class Step:
-    """A number of like tasks.
+    """A number of identical tasks.
 
     Attributes:
         count: Number of tasks.
-        resources: What each task needs.
-        estimate_ms: The caller's rough estimate of a task's duration.
-        after: Indexes of the steps whose tasks must all be done before.
-        gang: Whether the tasks work only while all of them run.
+        resources: Resources that each task needs.
+        estimate_ms: The client's rough estimate of a task's duration.
+        after: Indexes of the steps whose tasks must all be done first.
+        gang: Whether the tasks make progress only while all of them run.
         same_rack: Whether the tasks are slower on more than one rack.
         required_label: Label that a worker must have, or empty.
         data_rack: Rack that holds the data, or empty.
         max_per_worker: Tasks of the step that one worker may run; 0 for any number.
-        speculative: Whether copies of a task may run at the same time.
+        speculative: Whether speculative copies of a task may run.
         long_running: Whether the tasks run until the job is cancelled.
         checkpoints: Whether the tasks save their progress.
-        image: What the tasks run; tasks of one image behave alike.
-        latency_target_ms: Bound of the tail latency that a long-running task's own
-            users see; 0 for none.
-        uses_spare: Whether the tasks take only processor time that others leave.
-        max_unavailable: Tasks that the scheduler's own acts may make unavailable at
-            a time; 0 for no bound.
+        image: Image that the tasks run; tasks of one image behave alike.
+        latency_target_ms: Upper bound of the tail latency that the users of a
+            long-running task see; 0 for none.
+        uses_spare: Whether the tasks are best-effort work, which uses only processor
+            time that other tasks leave unused.
+        max_unavailable: Most tasks that the scheduler's own actions may make
+            unavailable at the same time; 0 for no bound.
     """
 
     count: int
@@ -113,16 +114,16 @@
 
 @attrs.frozen
 class StepJob:
-    """A job as handed in.
+    """A job as submitted.
 
     Attributes:
-        job_id: Id that the caller chose.
+        job_id: Id that the client chose.
         queue: Name of the queue.
-        team: Team whose key came with it; empty on a public queue.
+        team: Team whose key the client sent; empty on a public queue.
         payload: Opaque text for the tasks.
         steps: The steps.
-        schedule: When they run.
-        accepted_unix_ms: When it was taken, in milliseconds since 1970.
+        schedule: When the steps run.
+        accepted_unix_ms: When it was accepted, in milliseconds since 1970.
     """
 
     job_id: str
@@ -139,18 +140,23 @@
         return self.schedule.times or 1
 
     def check(self) -> None:
-        """Check what the types alone do not.
+        """Check the constraints that the types do not express.
 
         Raises:
-            InvalidInputError: If a step is empty or its predecessors are wrong.
+            InvalidInputError: If the number of steps or of tasks in a step is out of
+                range, or a step does not come after its predecessors.
         """
         if not 0 < len(self.steps) <= MAX_STEPS:
-            raise InvalidInputError(f"a job has 1 to {MAX_STEPS} steps")
+            raise InvalidInputError(f"a job must have 1 to {MAX_STEPS} steps")
         for index, step in enumerate(self.steps):
             if not 0 < step.count <= MAX_TASKS_PER_STEP:
-                raise InvalidInputError(f"a step has 1 to {MAX_TASKS_PER_STEP} tasks")
-            if any(not 0 <= earlier < index for earlier in step.after):
-                raise InvalidInputError(f"step {index} must come after earlier steps")
+                raise InvalidInputError(
+                    f"a step must have 1 to {MAX_TASKS_PER_STEP} tasks"
+                )
+            if any(not 0 <= predecessor < index for predecessor in step.after):
+                raise InvalidInputError(
+                    f"step {index} may depend only on earlier steps"
+                )
 
 
 @attrs.frozen(cache_hash=True)
@@ -165,15 +171,15 @@
 
 @attrs.frozen
 class RunReport:
-    """What a worker says of a run that is present.
+    """A worker's report about a run that it has.
 
     Attributes:
         task: The task.
         run: Number of the run.
         checkpoint: The newest checkpoint, or empty.
         percent: Progress, 0 to 100.
-        measurement: Tail latency in milliseconds of a task with a latency target,
-            processor use in thousandths of a core of any other.
+        measurement: Tail latency in milliseconds if the task has a latency target,
+            otherwise processor use in thousandths of a core.
     """
 
     task: TaskRef
@@ -185,10 +191,10 @@
 
 @attrs.frozen
 class RunEnd:
-    """What a worker says of a run that has ended.
+    """A worker's report about a run that has ended.
 
     Attributes:
-        number: Rises with each end in one life of the worker.
+        number: Sequence number of the end within one incarnation of the worker.
         task: The task.
         run: Number of the run.
         ending: How it ended.
@@ -204,13 +210,14 @@
 
 @attrs.frozen
 class WorkerListing:
-    """What a worker says of itself in answer to a lease renewal.
+    """A worker's response to a lease renewal.
 
     Attributes:
-        born_unix_ms: When this life of the worker began.
-        clock_ms: The worker's own steady clock.
-        running: The runs that are present.
-        ended: The ends that have not been acknowledged.
+        born_unix_ms: Start of this incarnation of the worker, in milliseconds since
+            1970.
+        clock_ms: The worker's own monotonic clock.
+        running: The runs that the worker has.
+        ended: The run ends that have not been acknowledged.
     """
 
     born_unix_ms: int
@@ -221,17 +228,18 @@
 
 @attrs.frozen
 class StepWorker:
-    """A worker that runs tasks of steps, as it registered itself.
+    """A worker that runs tasks of step jobs, as it registered itself.
 
     Attributes:
         worker_id: Its id.
         pool: The pool that it belongs to.
         address: IP number and port.
         zone: Its availability zone.
-        capacity: What it offers.
+        capacity: Resources that it offers.
         labels: Its kind and its rack.
         draining: Whether it is about to leave.
-        born_unix_ms: When this life of the worker began.
+        born_unix_ms: Start of this incarnation of the worker, in milliseconds since
+            1970.
     """
 
     worker_id: str
@@ -257,8 +265,8 @@
         task: The task.
         run: Number of the run.
         payload: Opaque text for the task.
-        checkpoint: Where to resume, or empty.
-        ticket: Permission of the placement advisor, or empty.
+        checkpoint: Checkpoint to resume from, or empty.
+        ticket: Ticket of the placement advisor that permits the start, or empty.
     """
 
     task: TaskRef
--- a/marjoramgrade/steprows.py
+++ b/marjoramgrade/steprows.py
@@ -1,4 +1,4 @@
-"""The rows that hold jobs of steps and the leadership."""
+"""The rows that store step jobs and the leadership."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 T = TypeVar("T")
 
-# All rows of one leader lie in one part, so that each write can check that the
-# leader still leads.
+# All rows that a leader writes are in one part, so that each write can check in the
+# same transaction that the leader still leads.
 LEADER_PART = "p0"
 LEADERSHIP_TABLE = "leadership"
 JOBS_TABLE = "jobs"
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class MemberRow:
-    """Where an instance can be reached by others, and how strong it is."""
+    """The address of an instance for other instances, and its processing capacity."""
 
     instance_id: str
     zone: str
@@ -39,9 +39,10 @@
 
 @attrs.frozen
 class JobRow:
-    """A job as handed in, and its queue as it was then.
+    """A job as submitted, with its queue as configured at that time.
 
-    A job outlives its queue, which a later configuration may drop.
+    The queue is stored too, since a later configuration may remove it before the
+    job has ended.
     """
 
     job: StepJob
@@ -50,33 +51,35 @@
 
 @attrs.frozen
 class RosterRow:
-    """The workers that a leader may have given work."""
+    """The workers to which a leader may have sent runs."""
 
     workers: tuple[StepWorker, ...] = ()
 
 
 def job_row_id(job_id: str) -> RowId:
-    """Return where a job as handed in lies."""
+    """Return the id of the row that stores a job as submitted."""
     return RowId(JOBS_TABLE, LEADER_PART, job_id)
 
 
 def progress_row_id(job_id: str) -> RowId:
-    """Return where the progress of a job lies."""
+    """Return the id of the row that stores the progress of a job."""
     return RowId(PROGRESS_TABLE, LEADER_PART, job_id)
 
 
 def serialize_row(value: object) -> bytes:
-    """Return the content of a row."""
+    """Return the content of the row that stores a value."""
     return msgspec.json.encode(value)
 
 
 def parse_row(data: bytes, kind: type[T]) -> T:
-    """Return what the content of a row holds.
+    """Return the value that the content of a row stores.
 
     Raises:
-        InvalidInputError: If it is not of this kind.
+        InvalidInputError: If the content is not a valid value of this type.
     """
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.MsgspecError as error:
-        raise InvalidInputError(f"a row of {kind.__name__}: {error}") from None
+        raise InvalidInputError(
+            f"row is not a valid {kind.__name__}: {error}"
+        ) from None
