--- a/marjoramgrade/model.py
+++ b/marjoramgrade/model.py
@@ -1,4 +1,4 @@
-"""The resources that callers and operators declare, read and watch."""
+"""The resources that clients and operators declare, read and watch."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Outcome(enum.Enum):
-    """The state of one task as it is kept in a job's `outcomes` string."""
+    """The state of one task as stored in a job's `outcomes` string."""
 
     OPEN = "."
     DONE = "d"
@@ -62,17 +62,17 @@
 
 @attrs.frozen
 class JobSpec:
-    """What a caller asks for.
+    """A client's specification of a job.
 
     Attributes:
         team: The team that the work counts against.
         kind: The kind of work, which selects the policies.
         tasks: Number of tasks, at least one.
-        resources: Amounts that each task needs.
+        resources: Resources that each task needs.
         run_ms: Declared run time of one task in milliseconds; zero for services.
         payload: Opaque text for the worker.
         priority: How soon the work must start.
-        max_attempts: Starts of one task before it counts as failed.
+        max_attempts: Maximum number of starts of one task before it counts as failed.
         spread_racks: Whether a gang's tasks must use different racks.
     """
 
@@ -89,15 +89,15 @@
 
 @attrs.frozen
 class Job:
-    """An accepted job as the table keeps it.
+    """An accepted job as stored in the table.
 
     Attributes:
-        job_id: Unique id, chosen by the caller or by the accepting instance.
-        spec: What the caller asked for.
+        job_id: Unique id, chosen by the client or by the accepting instance.
+        spec: The client's specification.
         shard: The shard whose owner runs the job.
         outcomes: One `Outcome` character for each task.
-        reason: Why the job is in its state, for people.
-        cancelled: Whether a caller asked to cancel it.
+        reason: Human-readable reason for the state of the job.
+        cancelled: Whether a client asked to cancel it.
     """
 
     job_id: str
@@ -129,7 +129,7 @@
         return JobState.DONE
 
     def with_outcomes(self, outcome_by_index: Mapping[int, Outcome]) -> Job:
-        """Return the job with further tasks ended; an ended task stays as it is."""
+        """Return the job with further tasks ended; ended tasks are unchanged."""
         characters = list(self.outcomes)
         for index, outcome in outcome_by_index.items():
             if characters[index] == Outcome.OPEN.value:
@@ -139,7 +139,7 @@
 
 @attrs.frozen(order=True)
 class TaskId:
-    """Names one task of a job."""
+    """Identifies one task of a job."""
 
     job_id: str
     index: int
@@ -149,20 +149,20 @@
 
     @classmethod
     def parse(cls, text: str) -> TaskId:
-        """Return the task that `str` wrote as this text."""
+        """Return the id whose `str` form is this text."""
         job_id, _, index = text.rpartition("/")
         return cls(job_id, int(index))
 
 
 @attrs.frozen
 class Team:
-    """A team and what it may use.
+    """A team and the resources that it may use.
 
     Attributes:
         name: Unique name.
         share: Weight of the team when the cell is full, at least one.
         limit: Upper limit across the fleet; a zero amount means no limit.
-        queue_bound: Tasks that may wait in one shard.
+        queue_bound: Maximum number of its tasks that may wait in one shard.
     """
 
     name: str
@@ -173,7 +173,7 @@
 
 @attrs.frozen
 class Key:
-    """A key that submitters present; only the hash of its secret is kept."""
+    """A key that clients present; only the hash of its secret is stored."""
 
     name: str
     team: str
@@ -181,7 +181,7 @@
 
     @classmethod
     def from_secret(cls, name: str, team: str, secret: str) -> Key:
-        """Return a key for a secret, which is not kept."""
+        """Return a key for a secret; the secret itself is not stored."""
         return cls(name, team, hash_secret(secret))
 
 
@@ -191,7 +191,7 @@
 
 
 def generate_secret() -> str:
-    """Return a new secret of 32 random bytes in URL-safe text."""
+    """Return a new secret of 32 random bytes as URL-safe text."""
     return secrets.token_urlsafe(32)
 
 
@@ -221,7 +221,7 @@
     """The whole configuration at one version.
 
     Attributes:
-        version: Raised by one with every change; zero before the first.
+        version: Increases by one with every change; zero before the first.
         recent_write_ids: Ids of the latest accepted changes, newest last.
         base_version_by_path: For each changed or deleted resource (`teams.acme`), the
             version of the document that its latest change was based on.
@@ -260,11 +260,11 @@
         instance_id: Unique id, never reused.
         kind: What runs there.
         zone: Its availability zone.
-        rack: Its rack, empty where that does not matter.
+        rack: Its rack; empty where racks do not matter.
         host: IP number.
         port: TCP port of its main protocol.
-        leaving: Whether the platform is about to take it away.
-        capacity: What it offers.
+        leaving: Whether the platform is about to remove it.
+        capacity: Resources that it offers.
         service: For backend servers, the service that it runs.
     """
 
--- a/marjoramgrade/resources.py
+++ b/marjoramgrade/resources.py
@@ -1,4 +1,4 @@
-"""The resource vector that workers offer and work asks for."""
+"""The resource vector that workers offer and tasks request."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
         )
 
     def scaled(self, numerator: int, denominator: int) -> Resources:
-        """Return every amount times a fraction, rounded down."""
+        """Return every amount multiplied by a fraction, rounded down."""
         return Resources(
             self.cpu_millis * numerator // denominator,
             self.memory_mib * numerator // denominator,
@@ -56,7 +56,7 @@
         )
 
     def dominant_share(self, total: Resources) -> float:
-        """Return the largest fraction of a total that any amount makes up."""
+        """Return the largest ratio of an amount to its total, skipping zero totals."""
         pairs = (
             (self.cpu_millis, total.cpu_millis),
             (self.memory_mib, total.memory_mib),
--- a/tests/strategies.py
+++ b/tests/strategies.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies for resources and hostile documents."""
+"""Hypothesis strategies for resources and malformed documents."""
 
 from hypothesis import strategies as st
 
@@ -53,7 +53,9 @@
 
 
 def by_name(entries: st.SearchStrategy) -> st.SearchStrategy:  # type: ignore[type-arg]
-    return st.lists(entries, max_size=4).map(lambda xs: {x.name: x for x in xs})
+    return st.lists(entries, max_size=4).map(
+        lambda drawn: {entry.name: entry for entry in drawn}
+    )
 
 
 configs = st.builds(
--- a/tests/test_stepconfig.py
+++ b/tests/test_stepconfig.py
@@ -1,4 +1,4 @@
-"""Queues and teams."""
+"""Tests of finding a queue by its path and a team by its key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_longest_prefix_wins():
-    # Guards against a job that lands in the queue of a shorter path.
+    # Guards against routing a job to a queue whose shorter prefix also matches.
     short, long = Queue("s", "h", "/a/", "p"), Queue("l", "h", "/a/b/", "p")
     config = StepConfig(1, {"s": short, "l": long})
     assert config.find_queue("h", "/a/b/0011") is long
@@ -15,7 +15,7 @@
 
 
 def test_key_finds_its_team():
-    # Guards against work that counts for another team.
+    # Guards against charging work to another team.
     teams = {name: TeamPolicy(name, frozenset({f"key-{name}"})) for name in "ab"}
     config = StepConfig(1, {}, {}, teams)
     assert config.find_team("key-b").name == "b"
