--- a/marjoramgrade/platform/advice.py
+++ b/marjoramgrade/platform/advice.py
@@ -14,16 +14,17 @@
 from marjoramgrade.messages.steps import AdvisedWorker, RequestAdvice, StepAdvice
 from marjoramgrade.platform.decoding import DECODE_ERRORS
 
-# The service answers the calls of a machine in turn and takes up to a second each.
+# The service processes the calls of one machine sequentially and takes up to 1 s for
+# each.
 CALL_TIMEOUT_MS = 8_000
 MAX_CONNECTIONS = 16
 
 
 class AdviceClient(AdvisorPort):
-    """Speaks to the advice service.
+    """HTTP client of the advice service.
 
     Args:
-        address: IP number and port.
+        address: IP address and port of the advice service.
     """
 
     def __init__(self, address: str) -> None:
@@ -34,7 +35,7 @@
         self._pool.close()
 
     async def advise(self, request: RequestAdvice) -> StepAdvice:
-        """Return where a step may run; see `AdvisorPort.advise`."""
+        """Return the workers that may run a step; see `AdvisorPort.advise`."""
         step = f"{request.job_id}.{request.occurrence}.{request.step}"
         body = msgspec.json.encode({"step": step, "workers": list(request.worker_ids)})
         try:
@@ -44,7 +45,9 @@
         except (HttpNotSentError, HttpNoResponseError) as error:
             raise AdvisorError(error.message) from None
         if answer.status != 200:
-            raise AdvisorError(f"the advice service answered {answer.status}")
+            raise AdvisorError(
+                f"the advice service responded with status {answer.status}"
+            )
         try:
             document = msgspec.json.decode(answer.body)
             workers = tuple(
@@ -53,4 +56,4 @@
             )
             return StepAdvice(workers, int(document["validMs"]))
         except DECODE_ERRORS as error:
-            raise AdvisorError(f"the advice cannot be read: {error!r}") from None
+            raise AdvisorError(f"the advice cannot be decoded: {error!r}") from None
--- a/marjoramgrade/platform/configuration.py
+++ b/marjoramgrade/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration documents."""
+"""Decoding of the platform's configuration documents."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 def parse_config(data: bytes) -> StepConfig:
-    """Return a configuration.
+    """Decode a configuration document.
 
     Raises:
-        InvalidInputError: If a field is missing or of another type.
+        InvalidInputError: If a field is missing or has the wrong type.
     """
     try:
         document = msgspec.json.decode(data)
         limits = document.get("limits") or {}
-        queues = [_queue(entry) for entry in document["routes"]]
-        pools = [_pool(entry) for entry in document["services"]]
-        teams = [_team(entry) for entry in document.get("tenants") or ()]
+        queues = [_parse_queue(entry) for entry in document["routes"]]
+        pools = [_parse_pool(entry) for entry in document["services"]]
+        teams = [_parse_team(entry) for entry in document.get("tenants") or ()]
         return StepConfig(
             int(document["version"]),
             {queue.name: queue for queue in queues},
@@ -47,10 +47,12 @@
             ),
         )
     except DECODE_ERRORS as error:
-        raise InvalidInputError(f"the configuration: {error!r}") from None
+        raise InvalidInputError(
+            f"the configuration cannot be decoded: {error!r}"
+        ) from None
 
 
-def _queue(entry: dict[str, Any]) -> Queue:
+def _parse_queue(entry: dict[str, Any]) -> Queue:
     advice = entry.get("advice")
     return Queue(
         name=entry["name"],
@@ -61,13 +63,13 @@
         attempts=int(entry.get("attempts") or 1),
         stretch=float(entry.get("stretch") or 1.0),
         objective_ms=int(entry.get("sloMs") or 0),
-        advice=_advice(advice) if advice else None,
+        advice=_parse_advice_policy(advice) if advice else None,
         public=bool(entry.get("public")),
     )
 
 
-def _advice(entry: dict[str, Any]) -> AdvicePolicy:
-    # periodMs is the time for each worker that a call names.
+def _parse_advice_policy(entry: dict[str, Any]) -> AdvicePolicy:
+    # periodMs is the additional time for each worker named in a call.
     return AdvicePolicy(
         float(entry.get("decideMs") or 0),
         float(entry.get("periodMs") or 0),
@@ -75,7 +77,7 @@
     )
 
 
-def _pool(entry: dict[str, Any]) -> WorkerPool:
+def _parse_pool(entry: dict[str, Any]) -> WorkerPool:
     return WorkerPool(
         entry["name"],
         bool(entry.get("enforcesCapacity")),
@@ -83,7 +85,7 @@
     )
 
 
-def _team(entry: dict[str, Any]) -> TeamPolicy:
+def _parse_team(entry: dict[str, Any]) -> TeamPolicy:
     # maxTasks is an amount of resources, not a number of tasks.
     return TeamPolicy(
         entry["name"],
--- a/marjoramgrade/platform/decoding.py
+++ b/marjoramgrade/platform/decoding.py
@@ -1,9 +1,9 @@
-"""What can go wrong when a document of the platform is read."""
+"""Exceptions that decoding a document of the platform can raise."""
 
 import msgspec
 
-# A missing field, a value of another type, an unknown word, an entry that is no
-# object, or bytes that are no JSON.
+# Raised for a missing field, a value of the wrong type, an unknown enumeration value,
+# an entry that is not an object, or bytes that are not JSON.
 DECODE_ERRORS = (
     KeyError,
     TypeError,
--- a/marjoramgrade/platform/settings.py
+++ b/marjoramgrade/platform/settings.py
@@ -1,6 +1,7 @@
 """Settings of an entry instance on the users' platform.
 
-The platform fills in `deploy/entry.json`, which has the names used here.
+The platform renders the template `deploy/entry.json`, whose field names are those
+used here.
 """
 
 from __future__ import annotations
@@ -12,30 +13,30 @@
 
 from marjoramgrade.errors import SettingsError, SettingsProblem
 
-# What a leader sends and receives with 176 workers and 600 starts a second, with
-# room for bursts.
+# Bandwidth that a leader uses with 176 workers and 600 starts per second, including
+# headroom for bursts.
 LEADER_LINK_MBPS = 50.0
 
 
 @attrs.frozen
 class InstanceSettings:
-    """What the process learns at its start.
+    """Settings that an entry instance reads at its start.
 
     Attributes:
         instance_id: Id of this instance.
         zone: Its availability zone.
-        host: IP number that it listens on.
-        front: Address for clients.
-        ready: Address on which the balancer asks whether it is ready.
-        peer_port: TCP port for other instances.
+        host: IP address that it listens on.
+        front: Address that serves clients.
+        ready: Address of the readiness endpoint, which the load balancer polls.
+        peer_port: TCP port for connections of other instances.
         metrics_port: TCP port on which metrics are served.
         store: Address of the store.
         advice: Address of the placement advisor, or empty if there is none.
         cpu_share: Share of each core that the instance may use.
-        cores: How fast its processor is, in ordinary cores.
-        link_mbps: Bandwidth of its network link.
-        longest_lease_ms: Longest lease that a worker grants.
-        status_s: How long callers may ask for a job that has ended, in seconds.
+        cores: Speed of its processor, in ordinary cores.
+        link_mbps: Bandwidth of its network link, in Mbit/s.
+        longest_lease_ms: Longest lease that a worker grants, in milliseconds.
+        status_s: How long clients can query the state of an ended job, in seconds.
         shutdown_s: Time between SIGTERM and SIGKILL, in seconds.
     """
 
@@ -57,9 +58,10 @@
 
     @property
     def strength(self) -> int:
-        """How much a leader on this instance can do, in thousandths of a core.
+        """Capacity of a leader on this instance, in thousandths of a core.
 
-        A slow link limits a leader as a slow processor does.
+        A link slower than `LEADER_LINK_MBPS` reduces it proportionally, as a slow
+        processor does.
         """
         link_share = min(self.link_mbps / LEADER_LINK_MBPS, 1.0)
         return int(1_000 * self.cpu_share * self.cores * link_share)
@@ -69,14 +71,15 @@
     """Read the settings file.
 
     Raises:
-        SettingsError: If it cannot be read or a field is missing or mistyped.
+        SettingsError: If the file cannot be read, a field is missing or has the wrong
+            type, or an address has no port.
     """
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=InstanceSettings)
     except (OSError, msgspec.MsgspecError) as error:
         raise SettingsError([SettingsProblem(str(path), str(error))]) from None
     problems = [
-        SettingsProblem(name, "must be an IP number and a port")
+        SettingsProblem(name, "must be an IP address and a port")
         for name in ("front", "ready", "store")
         if not getattr(settings, name).rpartition(":")[2].isdigit()
     ]
--- a/marjoramgrade/platform/store.py
+++ b/marjoramgrade/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: rows over HTTP."""
+"""HTTP client of the platform's metadata store, which holds rows."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     WatchRows,
 )
 
-# Answers usually take 4 ms and transactions 12 ms; a slow store takes some seventy
-# times as long, and what was given up on still takes its time there.
+# A response usually takes 4 ms and a transaction 12 ms. A slow store takes about 70
+# times as long and continues to process requests that have timed out here.
 READ_TIMEOUT_MS = 1_200
 COMMIT_TIMEOUT_MS = 2_000
-# Beyond the time that a watch asked to wait.
+# Added to the wait time of a watch to get the timeout of its request.
 WATCH_MARGIN_MS = 1_000
 
 
@@ -46,7 +46,7 @@
     """Owns the connections to the store.
 
     Args:
-        address: IP number and port of the store.
+        address: IP address and port of the store.
     """
 
     def __init__(self, address: str) -> None:
@@ -73,27 +73,29 @@
         body = msgspec.json.encode(
             {
                 "expectRev": [
-                    {**_row_document(check.row), "ver": check.version}
+                    {**_encode_row_id(check.row), "ver": check.version}
                     for check in message.checks
                 ],
                 "puts": [
                     {
-                        **_row_document(write.row),
+                        **_encode_row_id(write.row),
                         "value": base64.b64encode(write.value).decode(),
                     }
                     for write in message.writes
                     if not write.remove
                 ],
                 "remove": [
-                    _row_document(write.row) for write in message.writes if write.remove
+                    _encode_row_id(write.row)
+                    for write in message.writes
+                    if write.remove
                 ],
             }
         )
         answer = await self._call("POST", "/rows-tx", body, COMMIT_TIMEOUT_MS)
-        document = _document(answer, "POST")
+        document = _decode_object(answer, "POST")
         if answer.status == 412:
-            raise RowCheckFailedError("a row has changed", _rows(document))
-        return RowsCommitted(_integer(document, "ver"))
+            raise RowCheckFailedError("a row has changed", _parse_rows(document))
+        return RowsCommitted(_get_integer(document, "ver"))
 
     async def _send_read(self, message: ReadRows) -> RowsPage:
         query = {"table": message.table, "part": message.part, "limit": message.limit}
@@ -101,7 +103,9 @@
             query["from"] = message.first
         path = f"/rows-get?{urlencode(query)}"
         timeout_ms = message.timeout_ms or READ_TIMEOUT_MS
-        return _page(_document(await self._call("GET", path, b"", timeout_ms)))
+        return _parse_page(
+            _decode_object(await self._call("GET", path, b"", timeout_ms))
+        )
 
     async def _send_watch(self, message: WatchRows) -> RowsPage:
         query = {
@@ -112,8 +116,10 @@
         path = f"/rows-feed?{urlencode(query)}"
         answer = await self._call("GET", path, b"", message.wait_ms + WATCH_MARGIN_MS)
         if answer.status == 410:
-            raise HistoryLostError(f"changes after {message.after} are gone")
-        return _page(_document(answer))
+            raise HistoryLostError(
+                f"the store no longer has the changes after version {message.after}"
+            )
+        return _parse_page(_decode_object(answer))
 
     async def _call(
         self, method: str, path: str, body: bytes, timeout_ms: int
@@ -125,65 +131,78 @@
         except HttpNotSentError as error:
             raise TableUnavailableError(error.message) from None
         except HttpNoResponseError as error:
-            raise _unanswered(method, error.message) from None
+            raise _failed_call_error(method, error.message) from None
         if answer.status in (429, 503, 507):
-            raise TableUnavailableError(f"the store answered {answer.status}")
+            raise TableUnavailableError(
+                f"the store responded with status {answer.status}"
+            )
         if answer.status in (200, 410, 412):
             return answer
         if answer.status >= 500:
-            raise _unanswered(method, f"the store answered {answer.status}")
+            raise _failed_call_error(
+                method, f"the store responded with status {answer.status}"
+            )
         raise ProtocolError(
-            f"the store answered {answer.status} to {method} {path[:80]}: "
+            f"the store responded with status {answer.status} to {method} {path[:80]}: "
             f"{answer.body[:200]!r}"
         )
 
 
-def _row_document(row: RowId) -> dict[str, Any]:
+def _encode_row_id(row: RowId) -> dict[str, Any]:
     return {"table": row.table, "part": row.part, "key": row.key}
 
 
-def _unanswered(method: str, reason: str) -> TableError:
-    """Return the failure of a call that brought no usable answer."""
+def _failed_call_error(method: str, reason: str) -> TableError:
+    """Return the error for a call without a usable response.
+
+    A failed read changed nothing; a write may still have been applied.
+    """
     if method == "GET":
         return TableUnavailableError(reason)
     return WriteOutcomeUnknownError(reason)
 
 
-def _document(answer: HttpResponse, method: str = "GET") -> dict[str, Any]:
+def _decode_object(answer: HttpResponse, method: str = "GET") -> dict[str, Any]:
     try:
         document = msgspec.json.decode(answer.body)
     except msgspec.DecodeError as error:
-        raise _unanswered(method, f"the answer is not JSON: {error}") from None
+        raise _failed_call_error(
+            method, f"the store's response is not JSON: {error}"
+        ) from None
     if not isinstance(document, dict):
-        raise _unanswered(method, "the answer is not an object")
+        raise _failed_call_error(method, "the store's response is not a JSON object")
     return document
 
 
-def _integer(document: dict[str, Any], name: str) -> int:
+def _get_integer(document: dict[str, Any], name: str) -> int:
     value = document.get(name)
     if type(value) is not int:
-        raise ProtocolError(f"{name} in the store's answer is not an integer")
+        raise ProtocolError(f"{name} in the store's response is not an integer")
     return value
 
 
-def _rows(document: dict[str, Any]) -> tuple[StoredRow, ...]:
+def _parse_rows(document: dict[str, Any]) -> tuple[StoredRow, ...]:
     rows = []
     for entry in document.get("rows") or ():
         try:
-            rows.append(_row(entry))
+            rows.append(_parse_row(entry))
         except (KeyError, TypeError, ValueError) as error:
-            raise InvalidInputError(f"a row of the store: {error!r}") from None
+            raise InvalidInputError(
+                f"a row of the store cannot be decoded: {error!r}"
+            ) from None
     return tuple(rows)
 
 
-def _row(entry: dict[str, Any]) -> StoredRow:
+def _parse_row(entry: dict[str, Any]) -> StoredRow:
     row = RowId(entry["table"], entry.get("part") or "", entry["key"])
     is_deleted = bool(entry.get("deleted"))
     value = b"" if is_deleted else base64.b64decode(entry.get("value") or "")
     return StoredRow(row, value, int(entry.get("ver") or 0), is_deleted)
 
 
-def _page(document: dict[str, Any]) -> RowsPage:
+def _parse_page(document: dict[str, Any]) -> RowsPage:
     return RowsPage(
-        _rows(document), _integer(document, "ver"), bool(document.get("hasMore"))
+        _parse_rows(document),
+        _get_integer(document, "ver"),
+        bool(document.get("hasMore")),
     )
--- a/marjoramgrade/platform/workers.py
+++ b/marjoramgrade/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's runners, and what they say of themselves."""
+"""HTTP client of the platform's runners, and decoding of their documents."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     WorkerListing,
 )
 
-# Orders are answered within a millisecond or two; the rest allows for a loop that
-# lags under load.
+# A runner responds to an order within 1 or 2 ms; the rest allows for an event loop
+# that lags under load.
 ORDER_TIMEOUT_MS = 250
-# Beyond the time that a listing asked to wait.
+# Added to the wait time of a listing to get the timeout of its request.
 LISTING_MARGIN_MS = 300
 MAX_CONNECTIONS = 5
 
-_ENDING_BY_WORD = {
+_END_STATUS_BY_NAME = {
     "done": RunEndStatus.DONE,
     "failed": RunEndStatus.FAILED,
     "stopped": RunEndStatus.STOPPED,
@@ -50,10 +50,10 @@
 
 
 class RunnerClient(WorkerPort):
-    """Speaks to one life of a runner.
+    """HTTP client of one incarnation of a runner.
 
     Args:
-        worker: The runner as registered.
+        worker: The runner as it registered itself.
     """
 
     def __init__(self, worker: StepWorker) -> None:
@@ -85,7 +85,7 @@
         return await self._order("/run-stop", document)
 
     async def pace(self, task: TaskRef, run: int, percent: int, fence: int) -> int:
-        """Slow a run; see `WorkerPort.pace`."""
+        """Limit the speed of a run; see `WorkerPort.pace`."""
         document = {
             "task": serialize_task(task),
             "run": run,
@@ -104,11 +104,11 @@
         if wait_ms:
             document["waitMs"] = wait_ms
         answer = await self._call("/hold", document, wait_ms + LISTING_MARGIN_MS)
-        return parse_listing(_document(answer))
+        return parse_listing(_decode_object(answer))
 
     async def _order(self, path: str, document: dict[str, Any]) -> int:
         answer = await self._call(path, document, ORDER_TIMEOUT_MS)
-        clock = _document(answer).get("clockMs")
+        clock = _decode_object(answer).get("clockMs")
         return clock if type(clock) is int else 0
 
     async def _call(
@@ -129,36 +129,41 @@
         if answer.status == 200:
             return answer
         if answer.status == 421:
-            raise WorkerReplacedError(f"{self._worker_id} no longer runs there")
+            raise WorkerReplacedError(
+                f"worker {self._worker_id} no longer runs at its address"
+            )
         reason = ""
         if answer.status == 409:
-            reason = str(_document(answer).get("reason") or "")
+            reason = str(_decode_object(answer).get("reason") or "")
         elif answer.status in (429, 503):
             reason = "busy"
         raise WorkerRefusedError(
-            f"{self._worker_id} answered {answer.status} to {path} {reason}",
+            f"worker {self._worker_id} responded with status {answer.status} to {path} "
+            f"{reason}",
             reason or "invalid",
         )
 
 
-def _document(answer: HttpResponse) -> dict[str, Any]:
+def _decode_object(answer: HttpResponse) -> dict[str, Any]:
     try:
         document = msgspec.json.decode(answer.body) if answer.body else {}
     except msgspec.DecodeError as error:
-        raise WorkerUnresponsiveError(f"the answer is not JSON: {error}") from None
+        raise WorkerUnresponsiveError(
+            f"the worker's response is not JSON: {error}"
+        ) from None
     return document if isinstance(document, dict) else {}
 
 
 def serialize_task(task: TaskRef) -> str:
-    """Return the name of a task on the wire."""
+    """Return the name that identifies a task on the wire."""
     return f"{task.job_id}.{task.occurrence}.{task.step}.{task.index}"
 
 
 def parse_task(text: str) -> TaskRef:
-    """Return the task that a name on the wire stands for.
+    """Return the task that a name on the wire identifies.
 
     Raises:
-        InvalidInputError: If the name has another form.
+        InvalidInputError: If the text is not the name of a task.
     """
     try:
         job_id, occurrence, step, index = text.split(".")
@@ -168,45 +173,47 @@
 
 
 def parse_listing(document: dict[str, Any]) -> WorkerListing:
-    """Return what a runner says of its runs.
+    """Decode a runner's listing of its runs.
 
     Raises:
-        InvalidInputError: If a field is missing or of another type.
+        InvalidInputError: If a field is missing or has the wrong type.
     """
     try:
         return WorkerListing(
             int(document.get("born") or 0),
             int(document["clockMs"]),
-            tuple(_report(entry) for entry in document.get("running") or ()),
-            tuple(_end(entry) for entry in document.get("ended") or ()),
+            tuple(_parse_run_report(entry) for entry in document.get("running") or ()),
+            tuple(_parse_run_end(entry) for entry in document.get("ended") or ()),
         )
     except DECODE_ERRORS as error:
-        raise InvalidInputError(f"a listing of runs: {error!r}") from None
+        raise InvalidInputError(
+            f"a listing of runs cannot be decoded: {error!r}"
+        ) from None
 
 
-def _report(entry: list[Any]) -> RunReport:
-    # The fifth entry has a unit that depends on the task; see RunReport.figure.
+def _parse_run_report(entry: list[Any]) -> RunReport:
+    # The unit of the fifth entry depends on the task; see RunReport.measurement.
     measurement = int(entry[4]) if len(entry) > 4 and entry[4] is not None else 0
     return RunReport(
         parse_task(entry[0]), int(entry[1]), entry[2] or "", int(entry[3]), measurement
     )
 
 
-def _end(entry: list[Any]) -> RunEnd:
+def _parse_run_end(entry: list[Any]) -> RunEnd:
     return RunEnd(
         int(entry[0]),
         parse_task(entry[1]),
         int(entry[2]),
-        _ENDING_BY_WORD[entry[3]],
+        _END_STATUS_BY_NAME[entry[3]],
         entry[4] or "",
     )
 
 
 def parse_worker(worker_id: str, data: bytes) -> StepWorker:
-    """Return a runner as it registered itself in the store.
+    """Decode the row that a runner registers itself with in the store.
 
     Raises:
-        InvalidInputError: If the entry is not one of a runner.
+        InvalidInputError: If the row is not a valid registration of a runner.
     """
     try:
         document = msgspec.json.decode(data)
@@ -222,7 +229,7 @@
             raise ValueError("a field has an unknown value")
         host, _, port = document["addr"].rpartition(":")
         if not host or not port.isdigit():
-            raise ValueError("the address has no port")
+            raise ValueError("the address lacks a host or a port")
         return StepWorker(
             worker_id,
             document["service"],
@@ -234,11 +241,13 @@
             int(document.get("born") or 0),
         )
     except DECODE_ERRORS as error:
-        raise InvalidInputError(f"the entry of {worker_id}: {error!r}") from None
+        raise InvalidInputError(
+            f"the registration of worker {worker_id} cannot be decoded: {error!r}"
+        ) from None
 
 
 def parse_resources(document: dict[str, Any]) -> Resources:
-    """Return amounts whose absent fields are zero."""
+    """Decode amounts of resources; absent fields are 0."""
     return Resources(
         cpu_millis=int(document.get("cpu") or 0),
         memory_mib=int(document.get("memMb") or 0),
