--- a/marjoramgrade/platform/daemon.py
+++ b/marjoramgrade/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The life of an entry instance on the users' platform."""
+"""Start, operation and shutdown of an entry instance on the users' platform."""
 
 from __future__ import annotations
 
@@ -46,21 +46,23 @@
 from marjoramgrade.platform.workers import RunnerClient, parse_worker
 
 SETTINGS_VARIABLE = "MARJORAMGRADE_NODE_FILE"
-# Leases that are granted: short ones free the tasks of a dead worker soon, long
-# ones outlast a takeover.
+# Upper bound of the worker leases that a leader grants: short leases free the tasks of
+# a dead worker soon, long ones outlast a takeover.
 MAX_WORKER_LEASE_MS = 3_200
-# Of the time between SIGTERM and SIGKILL, this much is left for the end itself.
+# Part of the time between SIGTERM and SIGKILL that drain() leaves for stopping the
+# actors and servers.
 SHUTDOWN_MARGIN_MS = 1_000
 SHUTDOWN_POLL_MS = 20
-# Connections that clients keep open get this long after the last request.
+# drain() returns once no request has been in flight and no client connection open for
+# this long.
 IDLE_BEFORE_EXIT_MS = 700
 
 
 class EntryDaemon:
-    """One entry instance; an asynchronous context manager that owns its parts.
+    """One entry instance; an asynchronous context manager that owns its actors.
 
     Args:
-        settings: What it learned at its start.
+        settings: Settings of the instance.
     """
 
     def __init__(self, settings: InstanceSettings) -> None:
@@ -68,14 +70,14 @@
         self._clock = SystemClock()
         self._metrics = PrometheusMetrics()
         self._stack = ActorGroup()
-        self._ready = ReadinessEndpoint()
-        self._front: ClientFrontend | None = None
+        self._readiness_endpoint = ReadinessEndpoint()
+        self._frontend: ClientFrontend | None = None
         self._leadership: LeadershipController | None = None
         self._servers: list[HTTPServer] = []
 
     @classmethod
     def from_config(cls, settings: InstanceSettings) -> EntryDaemon:
-        """Return an instance that is not yet started."""
+        """Return an instance that has not been started."""
         return cls(settings)
 
     async def __aenter__(self) -> EntryDaemon:
@@ -91,47 +93,49 @@
 
     @property
     def failed(self) -> asyncio.Event:
-        """Set when a loop of one of the parts has failed."""
+        """Set when a background loop of one of the actors has failed."""
         return self._stack.failed
 
     async def _start(self) -> None:
         settings, clock = self._settings, self._clock
-        own = Member(
+        own_member = Member(
             settings.instance_id,
             settings.zone,
             settings.host,
             settings.peer_port,
             strength=settings.strength,
         )
-        link = StoreClient(settings.store)
-        # Calls of others that hang in a silent store leave this instance's own
-        # connections free.
-        relay_link = StoreClient(settings.store)
+        store_client = StoreClient(settings.store)
+        # Calls relayed for other instances use separate connections, so that they don't
+        # occupy this instance's own connections when the store is unresponsive.
+        relay_store_client = StoreClient(settings.store)
         advisor = AdvisingController(AdviceClient(settings.advice))
         peers = PeersController(
-            own, link, lambda member: PeerLink(own.instance_id, own.host, member)
+            own_member,
+            store_client,
+            lambda member: PeerLink(own_member.instance_id, own_member.host, member),
         )
-        router = StoreRouter(own.instance_id, link, peers)
-        terms = LeaderDurations(
+        router = StoreRouter(own_member.instance_id, store_client, peers)
+        durations = LeaderDurations(
             min(MAX_WORKER_LEASE_MS, settings.longest_lease_ms),
             settings.status_s * 1_000,
         )
         scheduler = StepSchedulerController(
-            own.instance_id,
+            own_member.instance_id,
             router,
             peers,
             advisor,
             RunnerClient,
-            terms,
+            durations,
             clock,
             self._metrics,
         )
         forwarder = ForwardingController(
-            own.instance_id, scheduler, peers, router, clock
+            own_member.instance_id, scheduler, peers, router, clock
         )
-        readiness = ReadinessController(self._ready, clock)
+        readiness = ReadinessController(self._readiness_endpoint, clock)
         leadership = LeadershipController(
-            own, router, peers, scheduler, clock, (forwarder, readiness)
+            own_member, router, peers, scheduler, clock, (forwarder, readiness)
         )
         directory = DirectoryController(
             router,
@@ -151,10 +155,12 @@
         router.connect((leadership,))
         peers.connect((router, leadership, scheduler))
         self._leadership = leadership
-        inbound = StepInboundController(leadership, scheduler, advisor, relay_link)
+        inbound = StepInboundController(
+            leadership, scheduler, advisor, relay_store_client
+        )
         actors: tuple[Actor, ...] = (
-            link,
-            relay_link,
+            store_client,
+            relay_store_client,
             advisor,
             router,
             forwarder,
@@ -180,12 +186,12 @@
             QUEUE_FILTERS.get(name).from_config(environment)  # type: ignore[arg-type]
             for name in DEFAULT_QUEUE_FILTERS
         ]
-        self._front = ClientFrontend(
+        self._frontend = ClientFrontend(
             FilterChain(filters, self._metrics), self._clock, self._metrics
         )
         for server, address in (
-            (self._front.make_server(), self._settings.front),
-            (self._ready.make_server(), self._settings.ready),
+            (self._frontend.make_server(), self._settings.front),
+            (self._readiness_endpoint.make_server(), self._settings.ready),
             (
                 self._metrics.make_server(),
                 f"{self._settings.host}:{self._settings.metrics_port}",
@@ -198,17 +204,22 @@
             self._stack.callback(server.stop)
 
     async def drain(self) -> None:
-        """Give the lead up and answer what callers still send."""
-        self._ready.mark_draining()
-        front = self._front
+        """Release the leadership and serve requests until clients have disconnected.
+
+        Returns once no request has been in flight and no client connection open for
+        `IDLE_BEFORE_EXIT_MS`, or `shutdown_s` less `SHUTDOWN_MARGIN_MS` after the
+        leadership was released.
+        """
+        self._readiness_endpoint.mark_draining()
+        front = self._frontend
         if front is not None:
             front.is_draining = True
         if self._leadership is not None:
             await self._leadership.ask(ReleaseLeadership())
         shutdown_ms = int(self._settings.shutdown_s * 1_000) - SHUTDOWN_MARGIN_MS
-        end_ms = self._clock.now_ms() + shutdown_ms
+        deadline_ms = self._clock.now_ms() + shutdown_ms
         idle_since_ms = self._clock.now_ms()
-        while front is not None and self._clock.now_ms() < end_ms:
+        while front is not None and self._clock.now_ms() < deadline_ms:
             now_ms = self._clock.now_ms()
             if front.in_flight or front.has_connections:
                 idle_since_ms = now_ms
@@ -223,20 +234,22 @@
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path, settings)
-    async with EntryDaemon.from_config(settings) as node:
+    async with EntryDaemon.from_config(settings) as daemon:
         logs.log_event("started", zone=settings.zone)
-        waits = [asyncio.ensure_future(e.wait()) for e in (stop, node.failed)]
-        await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-        for wait in waits:
-            wait.cancel()
-        logs.log_event("stopping", failed=str(node.failed.is_set()))
-        if not node.failed.is_set():
-            await node.drain()
-    return 1 if node.failed.is_set() else 0
+        waiters = [
+            asyncio.ensure_future(event.wait()) for event in (stop, daemon.failed)
+        ]
+        await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+        for waiter in waiters:
+            waiter.cancel()
+        logs.log_event("stopping", failed=str(daemon.failed.is_set()))
+        if not daemon.failed.is_set():
+            await daemon.drain()
+    return 1 if daemon.failed.is_set() else 0
 
 
 def _reload(path: pathlib.Path, current: InstanceSettings) -> None:
-    """Say what changed in the settings; addresses take effect at the next start."""
+    """Log whether the settings have changed; changes apply at the next start."""
     try:
         changed = read_settings(path) != current
     except SettingsError as error:
@@ -246,7 +259,12 @@
 
 
 def main() -> int:
-    """Run the entry instance that the settings file describes."""
+    """Run the entry instance that the settings file describes.
+
+    Returns:
+        The exit status: 0 after an orderly shutdown, 1 if an actor failed, 2 if the
+        settings cannot be read.
+    """
     path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ""))
     try:
         settings = read_settings(path)
--- a/marjoramgrade/platform/frontend.py
+++ b/marjoramgrade/platform/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP interface that the platform's clients and its balancer speak."""
+"""HTTP servers for the platform's clients and its load balancer."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 MAX_HEADER_BYTES = 16_384
 MAX_BODY_BYTES = 262_144
 IDLE_TIMEOUT_MS = 60_000
-# When a refused caller may come back: takeovers and short outages of the store
-# end within a second.
+# Delay after which a refused client may retry: takeovers and short outages of the
+# store end within 1 s.
 RETRY_AFTER_S = 1
 BEARER = "Bearer "
 
@@ -53,7 +53,7 @@
     "GET": QueueVerb.STATE,
     "DELETE": QueueVerb.CANCEL,
 }
-# The first type that an error belongs to decides.
+# The first entry whose type matches an error gives its status.
 _STATUS_BY_TYPE: tuple[tuple[type[MarjoramgradeError], int], ...] = (
     (UnauthenticatedError, 401),
     (ForbiddenError, 403),
@@ -67,24 +67,25 @@
 
 
 class ClientHttpServer(HTTPServer):
-    """A server that can tell whether clients are connected."""
+    """An HTTP server that exposes whether it has open connections."""
 
     @property
     def has_connections(self) -> bool:
-        """Whether a client is connected."""
+        """Whether any client connection is open."""
         return bool(self._connections)
 
 
 @attrs.define
 class ClientFrontend:
-    """Serves the clients.
+    """Serves requests of clients.
 
     Attributes:
-        chain: The filter chain.
-        clock: Time.
-        metrics: Counts times.
-        is_draining: Whether the process is about to end.
-        in_flight: Requests that have not been answered.
+        chain: Handles each request.
+        clock: Monotonic time.
+        metrics: Records the duration of each request.
+        is_draining: Whether the instance is shutting down; responses then close their
+            connections.
+        in_flight: Number of requests that are being processed.
     """
 
     chain: FilterChain
@@ -96,7 +97,7 @@
     _server: ClientHttpServer | None = None
 
     def make_server(self) -> HTTPServer:
-        """Return the server, not yet listening."""
+        """Return a new server that does not listen yet."""
         self._server = ClientHttpServer(
             self._accept,
             max_header_size=MAX_HEADER_BYTES,
@@ -107,7 +108,7 @@
 
     @property
     def has_connections(self) -> bool:
-        """Whether a client keeps a connection open."""
+        """Whether any client connection is open; false before `make_server`."""
         return self._server is not None and self._server.has_connections
 
     def _accept(self, request: HTTPServerRequest) -> None:
@@ -117,21 +118,21 @@
 
     async def _serve(self, request: HTTPServerRequest) -> None:
         self.in_flight += 1
-        began_ms = self.clock.now_ms()
+        started_ms = self.clock.now_ms()
         try:
-            status, body = await self._answer(request, began_ms)
-            self.metrics.timing("request", self.clock.now_ms() - began_ms)
+            status, body = await self._respond(request, started_ms)
+            self.metrics.timing("request", self.clock.now_ms() - started_ms)
             self._write(request, status, body)
         except StreamClosedError:
             return
         finally:
             self.in_flight -= 1
 
-    async def _answer(
-        self, request: HTTPServerRequest, began_ms: int
+    async def _respond(
+        self, request: HTTPServerRequest, started_ms: int
     ) -> tuple[int, bytes]:
         try:
-            context = self._context(request, began_ms)
+            context = self._make_context(request, started_ms)
             return 200, serialize_response(await self.chain.handle(context))
         except MarjoramgradeError as error:
             status = status_of(error)
@@ -142,14 +143,16 @@
                 status=status,
                 code=error.code,
                 reason=error.message[:200],
-                took_ms=self.clock.now_ms() - began_ms,
+                took_ms=self.clock.now_ms() - started_ms,
             )
             return status, msgspec.json.encode({"error": error.code})
 
-    def _context(self, request: HTTPServerRequest, began_ms: int) -> RequestContext:
+    def _make_context(
+        self, request: HTTPServerRequest, started_ms: int
+    ) -> RequestContext:
         verb = _VERB_BY_METHOD.get(request.method or "")
         if verb is None:
-            raise InvalidInputError(f"the method {request.method} has no meaning here")
+            raise InvalidInputError(f"the method {request.method} is not supported")
         if verb is QueueVerb.STATE and request.path.endswith("/"):
             verb = QueueVerb.COUNT
         job = parse_job(request.body) if verb is QueueVerb.SUBMIT else None
@@ -159,7 +162,7 @@
             QueueRequest(verb, host.lower(), request.path, job),
             secret.removeprefix(BEARER) if secret.startswith(BEARER) else "",
             "",
-            began_ms + _deadline_ms(request.headers),
+            started_ms + _parse_deadline_ms(request.headers),
         )
 
     def _write(self, request: HTTPServerRequest, status: int, body: bytes) -> None:
@@ -171,21 +174,24 @@
         )
         if status in (429, 503):
             headers["Retry-After"] = str(RETRY_AFTER_S)
-        # A caller that is refused here comes back on a new connection, for which the
-        # balancer can choose an instance that is ready.
+        # A refused client then retries on a new connection, for which the load balancer
+        # can choose an instance that is ready.
         if self.is_draining or status == 503:
             headers["Connection"] = "close"
-        written = connection.write_headers(
+        write_future = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""), headers, body
         )
-        written.add_done_callback(lambda done: done.cancelled() or done.exception())
+        write_future.add_done_callback(
+            lambda done: done.cancelled() or done.exception()
+        )
         connection.finish()
 
 
 def status_of(error: MarjoramgradeError) -> int:
     """Return the HTTP status for an error.
 
-    429 and 503 promise that nothing runs, so they are only for errors that know it.
+    429 and 503 guarantee that the work has not run, so errors whose outcome is unknown
+    always map to 504.
     """
     if error.ran is Ran.UNKNOWN:
         return 504
@@ -196,7 +202,7 @@
 
 
 def serialize_response(answer: Any) -> bytes:
-    """Return the body that answers a request."""
+    """Return the response body for a result of the filter chain."""
     if isinstance(answer, StepJobShown):
         return msgspec.json.encode({"state": answer.state.value})
     if isinstance(answer, PendingCount):
@@ -204,7 +210,7 @@
     return b"{}"
 
 
-def _deadline_ms(headers: HTTPHeaders) -> int:
+def _parse_deadline_ms(headers: HTTPHeaders) -> int:
     text = headers.get("X-Deadline-Ms", "")
     if not (text.isascii() and text.isdigit() and 0 < len(text) <= 6):
         return DEFAULT_DEADLINE_MS
@@ -212,14 +218,14 @@
 
 
 def parse_job(body: bytes) -> StepJob:
-    """Return a job without its id, queue and team.
+    """Decode a submitted job; its id, queue and team are left empty.
 
     Raises:
-        InvalidInputError: If a field is missing or of another type.
+        InvalidInputError: If a field is missing or has the wrong type.
     """
     try:
         document = msgspec.json.decode(body)
-        steps = tuple(_step(entry) for entry in document["steps"])
+        steps = tuple(_parse_step(entry) for entry in document["steps"])
         payload = document.get("spec") or ""
         if not isinstance(payload, str):
             raise TypeError("spec is not a string")
@@ -230,10 +236,10 @@
         )
         return StepJob("", "", "", payload, steps, schedule)
     except DECODE_ERRORS as error:
-        raise InvalidInputError(f"the job cannot be read: {error!r}") from None
+        raise InvalidInputError(f"the job cannot be decoded: {error!r}") from None
 
 
-def _step(entry: dict[str, Any]) -> Step:
+def _parse_step(entry: dict[str, Any]) -> Step:
     return Step(
         count=int(entry.get("count") or 0),
         resources=parse_resources(entry),
@@ -250,16 +256,17 @@
         image=str(entry.get("image") or ""),
         latency_target_ms=int(entry.get("targetMs") or 0),
         uses_spare=bool(entry.get("fills")),
-        # mayMiss bounds what the scheduler's own orders make unavailable.
+        # mayMiss limits how many tasks the scheduler's own orders make unavailable.
         max_unavailable=int(entry.get("mayMiss") or 0),
     )
 
 
 class ReadinessEndpoint:
-    """Tells the balancer whether this instance wants new connections.
+    """Serves the load balancer's readiness checks.
 
     Attributes:
-        is_ready: Whether it does, as long as it does not leave.
+        is_ready: Whether this instance accepts new connections; without effect once
+            draining has begun.
     """
 
     def __init__(self) -> None:
@@ -267,11 +274,11 @@
         self._is_draining = False
 
     def mark_draining(self) -> None:
-        """Ask for no new connections until the process ends."""
+        """Report the instance as not ready until the process ends."""
         self._is_draining = True
 
     def make_server(self) -> HTTPServer:
-        """Return the server, not yet listening."""
+        """Return a new server that does not listen yet."""
         return HTTPServer(self._accept)
 
     def _accept(self, request: HTTPServerRequest) -> None:
@@ -279,9 +286,11 @@
         if connection is None:
             return
         status = 200 if self.is_ready and not self._is_draining else 503
-        written = connection.write_headers(
+        write_future = connection.write_headers(
             ResponseStartLine("HTTP/1.1", status, ""),
             HTTPHeaders({"Content-Length": "0"}),
         )
-        written.add_done_callback(lambda done: done.cancelled() or done.exception())
+        write_future.add_done_callback(
+            lambda done: done.cancelled() or done.exception()
+        )
         connection.finish()
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -1,4 +1,4 @@
-"""Translation between the users' platform and the product."""
+"""Tests of the translation between the users' platform and the scheduler."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 
 
 def test_entry_of_a_runner_is_read():
-    # Guards against a capacity or rack that is read from the wrong field.
+    # Guards against a capacity or rack that is decoded from the wrong field.
     worker = parse_worker("i-1", encode(WORKER_ENTRY))
     assert worker.capacity == Resources(cpu_millis=16_000, memory_mib=32_768)
     assert (worker.rack, worker.draining, worker.born_unix_ms) == ("r1", False, 5)
@@ -99,15 +99,17 @@
         {"labels": [4]},
     ],
 )
-def test_entry_of_another_writer_is_refused(change):
-    # Guards against a worker that does not exist, and against a crash.
+def test_invalid_worker_registration_is_refused(change):
+    # Guards against a crash, and against a worker that does not exist, when another
+    # program writes to the table of workers.
     with pytest.raises(InvalidInputError):
         parse_worker("i-1", encode({**WORKER_ENTRY, **change}))
 
 
 @given(st.binary(max_size=60))
 def test_bytes_that_cannot_be_read_are_a_typed_error(data):
-    # Guards against a process that ends because of a row that others wrote.
+    # Guards against an unhandled exception that ends the process when another program
+    # has written a malformed row.
     for parse in (lambda d: parse_worker("i", d), parse_config, parse_job):
         try:
             parse(data)
@@ -126,7 +128,8 @@
     )
 )
 def test_documents_of_another_shape_are_a_typed_error(document):
-    # Guards against the same for JSON whose fields are missing or mistyped.
+    # Guards against an unhandled exception that ends the process when fields of a JSON
+    # document are missing or have the wrong type.
     data = encode(document)
     for parse in (lambda d: parse_worker("i", d), parse_config, parse_job):
         try:
@@ -136,7 +139,7 @@
 
 
 def test_configuration_is_read():
-    # Guards against limits and times that are taken from the wrong fields.
+    # Guards against limits and times that are decoded from the wrong fields.
     config = parse_config(encode(CONFIG))
     queue = config.find_queue("a.example", "/x/1")
     assert queue.advice.per_worker_ms == 0.37
@@ -145,7 +148,7 @@
 
 
 def test_job_is_read():
-    # Guards against a step that loses one of its demands on the way in.
+    # Guards against a requirement of a step that is lost in decoding.
     step = {
         "count": 2,
         "cpu": 500,
@@ -173,8 +176,8 @@
     assert job.occurrences == 2
 
 
-def test_task_name_goes_there_and_back():
-    # Guards against a start that another task's end is matched with.
+def test_task_name_round_trips():
+    # Guards against the end of one task being matched with the start of another.
     task = TaskRef("5c0e7a21d94b36f8", 0, 1, 17)
     assert parse_task(serialize_task(task)) == task
     for text in ("", "a.b", "a.0.1.x", None):
@@ -183,7 +186,7 @@
 
 
 def test_listing_is_read():
-    # Guards against an end that is taken for another kind of end.
+    # Guards against a run end that is decoded with the wrong status.
     name = "5c0e7a21d94b36f8.0.1.9"
     listing = parse_listing(
         {
@@ -213,11 +216,11 @@
     ],
 )
 def test_status_of_each_error(error, status):
-    # Guards against a caller that gives up, or repeats, where it must not.
+    # Guards against a status that makes a client retry, or abandon, a request wrongly.
     assert status_of(error("x")) == status
 
 
-def test_only_refusals_promise_that_nothing_runs():
+def test_only_refusals_guarantee_that_nothing_runs():
     # Guards against a 429 or 503 for work whose outcome is unknown.
     for kind in errors.iter_error_types():
         if kind.ran is not errors.Ran.NO:
@@ -225,15 +228,15 @@
             assert status_of(error) not in (429, 503), kind
 
 
-def test_answers_have_the_words_of_the_platform():
-    # Guards against a state that clients cannot read.
+def test_responses_use_the_names_of_the_platform():
+    # Guards against a response that clients of the platform cannot decode.
     shown = serialize_response(StepJobShown(StepJobState.COMPLETED))
     assert msgspec.json.decode(shown) == {"state": "completed"}
     assert msgspec.json.decode(serialize_response(PendingCount(3))) == {"pending": 3}
 
 
 class StubFilter(Filter):
-    """Answers every request."""
+    """Handles every request; refuses those to `/q/refused`."""
 
     @classmethod
     def from_config(cls, environment):
@@ -245,8 +248,9 @@
         return StepJobShown(StepJobState.RUNNING)
 
 
-def test_refusal_says_when_to_come_back():
-    # Guards against callers who hammer or give up, and against unread answers.
+def test_refusal_has_a_retry_after_header():
+    # Guards against clients that retry at once or not at all, and against responses
+    # that clients cannot read.
     async def run():
         front = ClientFrontend(
             FilterChain([StubFilter()], MemoryMetrics()), SystemClock(), MemoryMetrics()
@@ -274,7 +278,7 @@
 
 
 def test_settings_are_checked(tmp_path: pathlib.Path):
-    # Guards against a process that starts with half of its settings.
+    # Guards against a process that starts with incomplete settings.
     path = tmp_path / "settings"
     with pytest.raises(SettingsError):
         read_settings(path)
@@ -293,9 +297,9 @@
         assert f'"{field.name}"' in template
 
 
-def test_words_of_the_platform_stay_in_its_folder():
-    # Guards against a second place that decodes the platform's names.
-    words = (
+def test_platform_names_occur_only_in_the_platform_folder():
+    # Guards against a second module that decodes the platform's names.
+    names = (
         *("run-start", "rows-tx", "rows-get", "rows-feed", "lastSeen", "deadlineMs"),
         *("expectRev", "antiAffinity", "mayMiss", "maxHoldMs", "apiKeys", "tenant"),
     )
@@ -303,12 +307,13 @@
     for path in package.rglob("*.py"):
         if path.parent.name != "platform":
             text = path.read_text(encoding="utf-8")
-            assert not [word for word in words if word in text], path
+            assert not [name for name in names if name in text], path
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 500 x\r\n", b"HTTP/1.1 200 OK\r\n"])
-def test_answer_of_the_store_that_cannot_be_used_is_a_failure_of_the_store(answer):
-    # Guards against a process that ends because the store answers something else.
+def test_unusable_store_response_raises_a_store_error(answer):
+    # Guards against an unhandled exception that ends the process when the store
+    # responds with an error or a body that is not JSON.
     async def handle(reader, writer):
         while head := await reader.readuntil(b"\r\n\r\n"):
             length = re.search(rb"Content-Length: (\d+)", head)
@@ -318,14 +323,14 @@
     async def run():
         server = await asyncio.start_server(handle, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        link = StoreClient(f"127.0.0.1:{port}")
-        await link.start()
+        client = StoreClient(f"127.0.0.1:{port}")
+        await client.start()
         row = RowId("jobs", "p0", "a")
         with pytest.raises(TableUnavailableError):
-            await link.ask(ReadRows("jobs", "p0"))
+            await client.ask(ReadRows("jobs", "p0"))
         with pytest.raises(WriteOutcomeUnknownError):
-            await link.ask(CommitRows((), (RowWrite(row, b"x"),)))
-        await link.stop()
+            await client.ask(CommitRows((), (RowWrite(row, b"x"),)))
+        await client.stop()
         server.close()
 
     asyncio.run(run())
