--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -23,10 +23,10 @@
 from marjoramgrade.settings import PolicyNames
 
 WAITING_AT_LIMIT = "waiting: team at its upper limit"
-WAITING_FOR_CAPACITY = "waiting: no worker has room"
+WAITING_FOR_CAPACITY = "waiting: no worker has enough free capacity"
 WAITING_ABOVE_SHARE = "waiting: team is above its share, other teams are served first"
 WAITING_FOR_PREEMPTION = "waiting: running work is being stopped to free capacity"
-WAITING_FOR_RESERVATION = "waiting: room is kept as it becomes free"
+WAITING_FOR_RESERVATION = "waiting: capacity is reserved as it becomes free"
 WAITING_IN_QUEUE = "waiting: other work is scheduled first"
 
 MayStart = Callable[[str, Resources], bool]
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -73,7 +73,7 @@
     scheduler.task_ended(TaskId("a", 1), EndStatus.STOPPED, 1_300)
     assert started(scheduler.step(1_300, 10)) == {"urgent/0": "w-0"}
     reason = scheduler.reason_of(TaskId("a", 0))
-    assert reason == "waiting: no worker has room"
+    assert reason == "waiting: no worker has enough free capacity"
     scheduler.task_ended(URGENT, EndStatus.DONE, 1_400)
     assert set(started(scheduler.step(1_400, 10))) == {"a/0", "a/1"}
     entry = scheduler.task_ended(TaskId("a", 0), EndStatus.FAILED, 1_500)
@@ -98,11 +98,15 @@
     fill(scheduler, *(queued("a", index, "a") for index in range(4)))
     scheduler.submit(queued("b", 0, "b", cores=3), 10)
     assert scheduler.step(10, 10) == []
-    assert scheduler.reason_of(TaskId("b", 0)).startswith("waiting: room is kept")
+    assert scheduler.reason_of(TaskId("b", 0)).startswith(
+        "waiting: capacity is reserved"
+    )
     scheduler.task_ended(TaskId("a", 0), EndStatus.DONE, 11)
     scheduler.submit(queued("urgent", team="c", urgent=True), 11)
     assert started(scheduler.step(11, 10)) == {"urgent/0": "w-0"}
-    assert scheduler.reason_of(TaskId("b", 0)).startswith("waiting: room is kept")
+    assert scheduler.reason_of(TaskId("b", 0)).startswith(
+        "waiting: capacity is reserved"
+    )
 
 
 def test_urgent_work_starts_elsewhere_while_its_victims_write_checkpoints() -> None:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -56,9 +56,9 @@
     queue.push(queued("other", team="b", at_ms=2), 2)
     head = queue.peek(Priority.NORMAL)
     assert head is not None
-    queue.skip_shape(head, "waiting: no worker has room")
+    queue.skip_shape(head, "waiting: no worker has enough free capacity")
     assert dequeue_all(queue) == ["small/0", "other/0"]
-    assert queue.reason_of(head) == "waiting: no worker has room"
+    assert queue.reason_of(head) == "waiting: no worker has enough free capacity"
     queue.begin_round(3)
     assert queue.peek(Priority.NORMAL) is head
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -18,7 +18,10 @@
     assert started(scheduler.step(0, 10)) == {"j/0": "w-0"}
     assert scheduler.step(1, 10) == []
     assert scheduler.reason_of(TaskId("j", 0)) == "placed on w-0"
-    assert scheduler.reason_of(TaskId("j", 1)) == "waiting: no worker has room"
+    assert (
+        scheduler.reason_of(TaskId("j", 1))
+        == "waiting: no worker has enough free capacity"
+    )
     scheduler.task_ended(TaskId("j", 0), EndStatus.DONE, 2)
     assert started(scheduler.step(2, 10)) == {"j/1": "w-0"}
 
@@ -158,7 +161,9 @@
     scheduler.submit(queued("large", team="b", cores=4), 0)
     scheduler.step(1, 10)
     for index in range(4):
-        assert scheduler.reason_of(TaskId("large", 0)).startswith("waiting: room is")
+        assert scheduler.reason_of(TaskId("large", 0)).startswith(
+            "waiting: capacity is reserved"
+        )
         scheduler.task_ended(TaskId("small", index), EndStatus.DONE, 2 + index)
         names = started(scheduler.step(2 + index, 10))
     assert names == {"large/0": "w-0"}
@@ -172,9 +177,14 @@
     scheduler.step(0, 10)
     scheduler.submit(queued("large", team="a", cores=2), 0)
     scheduler.step(TASK_RESERVATION_DELAY_MS - 1, 10)
-    assert scheduler.reason_of(TaskId("large", 0)) == "waiting: no worker has room"
+    assert (
+        scheduler.reason_of(TaskId("large", 0))
+        == "waiting: no worker has enough free capacity"
+    )
     scheduler.step(TASK_RESERVATION_DELAY_MS, 10)
-    assert scheduler.reason_of(TaskId("large", 0)).startswith("waiting: room is kept")
+    assert scheduler.reason_of(TaskId("large", 0)).startswith(
+        "waiting: capacity is reserved"
+    )
 
 
 def test_a_team_above_its_share_yields_while_capacity_is_reserved() -> None:
