--- a/marjoramgrade/decisions/excess.py
+++ b/marjoramgrade/decisions/excess.py
@@ -15,7 +15,7 @@
 def choose_excess_tasks(
     running: RunningTasks, team: str, excess: Resources
 ) -> list[TaskId]:
-    """Return the newest tasks of a team that free an amount, services last.
+    """Return tasks of a team whose end frees an amount, newest first, services last.
 
     Args:
         running: The running tasks; tasks that are already stopping are not chosen.
--- a/marjoramgrade/decisions/free_index.py
+++ b/marjoramgrade/decisions/free_index.py
@@ -51,7 +51,7 @@
     largest: Resources = ZERO_RESOURCES
     is_stale: bool = True
 
-    def may_hold(self, request: Resources) -> bool:
+    def may_fit(self, request: Resources) -> bool:
         """Return whether a worker of the block may have enough resources."""
         if self.is_stale:
             amounts = [entry[2] for entry in self.entries]
@@ -101,12 +101,12 @@
             del self._blocks[position], self._last_keys[position]
 
     def iter_fitting(self, request: Resources) -> Iterator[str]:
-        """Yield the workers that fit a request, least available first."""
+        """Yield the workers that a request fits on, least available first."""
         key = (size_of(request), "")
         start = bisect_left(self._last_keys, key)
         for position in range(start, len(self._blocks)):
             block = self._blocks[position]
-            if block.may_hold(request):
+            if block.may_fit(request):
                 for _, worker_id, available in block.entries:
                     if request.fits(available):
                         yield worker_id
--- a/marjoramgrade/decisions/gang_runs.py
+++ b/marjoramgrade/decisions/gang_runs.py
@@ -1,4 +1,4 @@
-"""Running gangs: if one member is lost, all members restart."""
+"""Running gangs: if a member must restart, the running members restart with it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     Attributes:
         running: Number of members that have not ended.
-        members_to_restart: Indexes of members that ended without a result and
+        members_to_restart: Indices of members that ended without a result and
             must restart.
         has_failed: Whether a member failed on its own, which counts as an attempt.
     """
@@ -56,7 +56,7 @@
 
         Args:
             running: The member.
-            queued: Indexes of the members that were queued until now.
+            queued: Indices of the members that were queued until now.
         """
         run = self._run_by_job[running.task.job_id]
         run.members_to_restart.update(queued)
@@ -74,7 +74,7 @@
             run.members_to_restart.discard(task.index)
 
     def cancel_job(self, job_id: str) -> int:
-        """Cancel the restarts of all members; returns how many there were."""
+        """Cancel the restarts of all members and return their number."""
         run = self._run_by_job.get(job_id)
         if run is None:
             return 0
--- a/marjoramgrade/decisions/gangs.py
+++ b/marjoramgrade/decisions/gangs.py
@@ -9,8 +9,9 @@
 from marjoramgrade.decisions.workers import WorkerPool
 from marjoramgrade.resources import Resources
 
-# In a busy shard small tasks use resources as soon as they become free, so those of
-# a whole gang would never be free at once. After this time they are reserved for it.
+# In a busy shard small tasks use resources as soon as they become free, so the
+# resources for a whole gang would never be free at once. After this time they are
+# reserved for it.
 GANG_RESERVATION_DELAY_MS = 10_000
 
 # Workers compared for the reservation of a single task; bounds the cost in a large
@@ -96,9 +97,9 @@
     """
     chosen: list[str] = []
     racks: set[str] = set()
-    compared = RESERVATION_CANDIDATES if count == 1 else len(pool)
+    candidate_count = RESERVATION_CANDIDATES if count == 1 else len(pool)
     workers = sorted(
-        islice(pool.iter_most_available(), compared),
+        islice(pool.iter_most_available(), candidate_count),
         key=lambda pair: (
             (resources - pair[1]).dominant_share(pair[0].capacity),
             pair[0].worker_id,
--- a/marjoramgrade/decisions/health.py
+++ b/marjoramgrade/decisions/health.py
@@ -1,4 +1,4 @@
-"""Detection of workers that get no work because their tasks keep failing."""
+"""Detection of workers whose tasks keep failing; they get no work for a time."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import attrs
 
-# Counted failures after which a worker is suspected. Below the ten that the target
-# allows, and above what a flaky job causes on a healthy worker by chance.
+# Counted failures after which a worker is suspected. Below the ten failures that the
+# target allows, and above what a flaky job causes on a healthy worker by chance.
 SUSPECT_AFTER_FAILURES = 5
 BACKOFF_BASE_MS = 10_000
 BACKOFF_MAX_MS = 1_800_000
--- a/marjoramgrade/decisions/placement.py
+++ b/marjoramgrade/decisions/placement.py
@@ -61,7 +61,7 @@
 
 @PLACEMENTS.register("first_fit")
 class FirstFit:
-    """Chooses the first fitting worker by a linear scan; the baseline."""
+    """Chooses the first fitting worker by a linear scan; a baseline for comparison."""
 
     def choose(
         self,
--- a/marjoramgrade/decisions/preemption.py
+++ b/marjoramgrade/decisions/preemption.py
@@ -17,7 +17,7 @@
 from marjoramgrade.resources import Resources
 
 # Batch work comes first, because stopping one member of a gang stops the whole gang
-# and stopping a service affects its callers.
+# and stopping a service affects its clients.
 VICTIM_ORDER = (JobKind.BATCH, JobKind.GANG, JobKind.SERVICE)
 
 
@@ -59,7 +59,7 @@
 
 @PREEMPTIONS.register("none")
 class NoPreemption:
-    """Never stops running work; the baseline."""
+    """Never stops running work; a baseline for comparison."""
 
     def choose(
         self,
@@ -132,8 +132,8 @@
     """
     needed = list(victims)
     for victim in reversed(victims):
-        without = available - victim.resources
-        if request.fits(without):
+        remaining = available - victim.resources
+        if request.fits(remaining):
             needed.remove(victim)
-            available = without
+            available = remaining
     return tuple(needed)
--- a/marjoramgrade/decisions/queue_orders.py
+++ b/marjoramgrade/decisions/queue_orders.py
@@ -22,7 +22,8 @@
 class ShapeQueue:
     """Entries of one team and priority with the same shape.
 
-    The shape of an entry is its kind, resources, gang size and rack spreading.
+    The shape of an entry is its kind, resources, gang size and rack spreading, so
+    entries of one queue are interchangeable.
 
     Attributes:
         entries: New work, oldest first.
--- a/marjoramgrade/decisions/queues.py
+++ b/marjoramgrade/decisions/queues.py
@@ -59,7 +59,7 @@
 
 
 def shape_key_of(entry: QueuedTask) -> ShapeKey:
-    """Return the shape; entries of a team with one shape are interchangeable."""
+    """Return the shape of an entry; see `ShapeQueue`."""
     return (entry.kind, entry.resources, entry.gang_size, entry.spread_racks)
 
 
@@ -77,7 +77,9 @@
         self._length_by_team: dict[str, int] = {}
         self._bound_by_team: dict[str, int] = {}
         self._blocked_reason_by_team: dict[str, str] = {}
+        # Heap of `(not_before_ms, number, entry)`.
         self._delayed: list[tuple[int, int, QueuedTask]] = []
+        # Numbers that break ties in the heaps.
         self._number = count()
         self._queued_count = 0
         self._cancelled_count = 0
@@ -110,7 +112,7 @@
 
         Args:
             entry: The task or gang.
-            now_ms: Time now.
+            now_ms: Current time.
             is_requeue: Whether the work was accepted before; the queue bound of its
                 team does not apply to such work.
 
@@ -221,7 +223,7 @@
     def cancel(self, task: TaskId) -> QueuedTask | None:
         """Cancel a queued task, or the whole gang that it belongs to.
 
-        Amortized, the cost per cancelled task is constant.
+        The amortized cost per cancelled task is constant.
 
         Returns:
             The cancelled entry, or None if the task is not queued.
@@ -265,7 +267,7 @@
         length = self.length_of(entry.team)
         if not is_requeue and length + entry.gang_size > bound:
             raise OverloadedError(
-                f"team {entry.team} has {length} tasks queued of at most {bound}",
+                f"team {entry.team} has {length} of at most {bound} queued tasks",
                 team=entry.team,
             )
 
--- a/marjoramgrade/decisions/reservations.py
+++ b/marjoramgrade/decisions/reservations.py
@@ -1,7 +1,7 @@
 """Resources reserved on workers for waiting work.
 
-A reservation of work that preempts nothing is yielding: urgent work and gangs may
-use its resources.
+A reservation of non-urgent work is yielding: urgent work and gangs may use its
+resources.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     def __init__(self, pool: WorkerPool) -> None:
         self._pool = pool
         self._reservation_by_task: dict[TaskId, Reservation] = {}
-        # Stored apart, since they are read for each queue head that does not fit.
+        # Stored separately, since they are read for each queue head that does not fit.
         self._yielding_by_task: dict[TaskId, Reservation] = {}
         self._yielding_count_by_team: Counter[str] = Counter()
         self._yielding_gang_count = 0
--- a/marjoramgrade/decisions/rounds.py
+++ b/marjoramgrade/decisions/rounds.py
@@ -35,11 +35,11 @@
 # because small tasks would otherwise use each part of the capacity as it is freed.
 TASK_RESERVATION_DELAY_MS = 5_000
 # Reserved capacity is idle until there is enough of it, so at most one reservation
-# is made for this many workers.
+# is made per this many workers.
 WORKERS_PER_RESERVATION = 8
 # While any reservation of non-urgent work exists, a team that is above its share by
 # more than this fraction of the shard starts nothing. A smaller fraction would leave
-# capacity idle because of single tasks.
+# capacity idle because a single task can put a team above it.
 SHARE_SLACK = 0.01
 # A reservation plan examines many workers, so a round in a full shard computes only
 # a few plans.
@@ -49,11 +49,11 @@
 
 @attrs.define
 class SchedulingRound:
-    """Starts the tasks that fit, urgent ones first, and reserves or preempts capacity.
+    """Starts the tasks that fit, urgent ones first; reserves or preempts for others.
 
     Attributes:
         state: The shard.
-        now_ms: Time now.
+        now_ms: Current time.
         budget: Maximum number of starts in this round; a gang may exceed it.
     """
 
@@ -66,8 +66,8 @@
     _unplaceable: list[Resources] = attrs.field(factory=list)
     _plans_left: int = PLANS_PER_ROUND
     _waiting_teams: tuple[str, ...] = ()
-    # Mean level of the waiting teams, or None after a start has changed it.
-    _mean_level: float | None = None
+    # Mean weighted share of the waiting teams, or None after a start has changed it.
+    _mean_weighted_share: float | None = None
 
     def run(self) -> list[Decision]:
         """Return the decisions of this round, stops first."""
@@ -131,7 +131,7 @@
             if not entry.is_urgent and self._must_yield(entry.team):
                 queue.skip_team(entry, WAITING_ABOVE_SHARE)
                 continue
-            worker_ids = self._place_new(entry)
+            worker_ids = self._place_queued(entry)
             if worker_ids is not None:
                 queue.dequeue(entry)
                 self._start(entry, worker_ids)
@@ -150,14 +150,14 @@
         return self._excess_of(team) > SHARE_SLACK
 
     def _excess_of(self, team: str) -> float:
-        """Return how far a team is above the mean level of the waiting teams."""
-        if self._mean_level is None:
-            self._mean_level = self.state.shares.mean_weighted_share(
+        """Return a team's excess over the mean weighted share of the waiting teams."""
+        if self._mean_weighted_share is None:
+            self._mean_weighted_share = self.state.shares.mean_weighted_share(
                 self._waiting_teams
             )
-        return self.state.shares.excess_of(team, self._mean_level)
+        return self.state.shares.excess_of(team, self._mean_weighted_share)
 
-    def _place_new(self, entry: QueuedTask) -> list[str] | None:
+    def _place_queued(self, entry: QueuedTask) -> list[str] | None:
         if any(request.fits(entry.resources) for request in self._unplaceable):
             return None
         worker_ids = self._place(entry)
@@ -201,7 +201,7 @@
         return None
 
     def _start(self, entry: QueuedTask, worker_ids: list[str]) -> None:
-        self._mean_level = None
+        self._mean_weighted_share = None
         self._starts.extend(self.state.start(entry, worker_ids, self.now_ms))
 
     def _reservation_for(self, entry: QueuedTask) -> Reservation | None:
@@ -268,8 +268,8 @@
             eviction = self._eviction_for_member(entry, frozenset(racks))
             if eviction is None:
                 break
-            # Marks the victims and holds the capacity at once, so that the next member
-            # is planned on neither.
+            # Marks the victims and holds the capacity, so that the plan for the next
+            # member uses neither.
             for victim in eviction.victims:
                 state.running.record_stop_request(
                     victim, StopRequest(True, PREEMPTION_REASON)
@@ -294,6 +294,7 @@
     def _eviction_for_member(
         self, entry: QueuedTask, avoid_racks: frozenset[str]
     ) -> Eviction | None:
+        """Return a worker for one member and its victims, if any, or None."""
         state = self.state
         policy = state.policy_by_kind[entry.kind]
         avoid_workers = state.health.avoided(self.now_ms)
--- a/marjoramgrade/decisions/running.py
+++ b/marjoramgrade/decisions/running.py
@@ -54,7 +54,7 @@
         self._tasks_by_worker.setdefault(running.worker_id, {})[task] = running
         self._tasks_by_group.setdefault(_group_of(running), {})[task] = running
         if running.kind is JobKind.SERVICE:
-            _change(self._service_resources_by_worker, running, 1)
+            _adjust_resources(self._service_resources_by_worker, running, 1)
         self._length += 1
 
     def remove(self, running: RunningTask) -> StopRequest | None:
@@ -64,23 +64,23 @@
         _pop(self._tasks_by_worker, running.worker_id, task)
         _pop(self._tasks_by_group, _group_of(running), task)
         if running.kind is JobKind.SERVICE:
-            _change(self._service_resources_by_worker, running, -1)
+            _adjust_resources(self._service_resources_by_worker, running, -1)
         self._length -= 1
         stopping = self._stop_request_by_task.pop(task, None)
         if stopping is not None:
-            _change(self._stopping_resources_by_worker, running, -1)
+            _adjust_resources(self._stopping_resources_by_worker, running, -1)
         return stopping
 
     def record_stop_request(self, running: RunningTask, stopping: StopRequest) -> None:
         """Record that a running task has been requested to stop."""
         if running.task not in self._stop_request_by_task:
-            _change(self._stopping_resources_by_worker, running, 1)
+            _adjust_resources(self._stopping_resources_by_worker, running, 1)
         self._stop_request_by_task[running.task] = stopping
 
     def clear_stop_request(self, running: RunningTask) -> None:
         """Undo `record_stop_request` for a task whose stop was not sent."""
         del self._stop_request_by_task[running.task]
-        _change(self._stopping_resources_by_worker, running, -1)
+        _adjust_resources(self._stopping_resources_by_worker, running, -1)
 
     def find(self, task: TaskId) -> RunningTask | None:
         """Return a running task, or None."""
@@ -139,9 +139,10 @@
         del groups[key]
 
 
-def _change(
+def _adjust_resources(
     resources_by_worker: dict[str, Resources], running: RunningTask, sign: int
 ) -> None:
+    """Add a task's resources to those of its worker, or subtract them."""
     amount = resources_by_worker.get(running.worker_id, ZERO_RESOURCES)
     if sign > 0:
         resources_by_worker[running.worker_id] = amount + running.resources
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -105,7 +105,7 @@
         return reserved + sum(len(queue) for queue in self._state.queues)
 
     def queued_count_of(self, team: str) -> int:
-        """Return the number of queued tasks of a team."""
+        """Return the number of queued tasks of a team that have no reservation."""
         return sum(queue.length_of(team) for queue in self._state.queues)
 
     def find_queued(self, task: TaskId) -> QueuedTask | None:
@@ -140,7 +140,7 @@
         self._state.queue_of(entry).push(entry, now_ms)
 
     def cancel(self, task: TaskId) -> bool:
-        """Cancel one task; a waiting gang is cancelled as a whole.
+        """Cancel one task; a queued gang is cancelled as a whole.
 
         Returns:
             Whether the task was known. A running task is stopped by a `StopTask`.
@@ -173,7 +173,7 @@
         return cancelled
 
     def stop(self, task: TaskId, reason: str, *, is_requeued: bool) -> bool:
-        """Stop a running task for a reason that the caller gives.
+        """Request that a running task stop.
 
         Args:
             task: The task.
@@ -259,7 +259,7 @@
         must_restart = end_status is not EndStatus.DONE and not is_dropped
         has_failed = end_status is EndStatus.FAILED and stopping is None
         if running.kind is JobKind.GANG:
-            return self._member_ended(running, must_restart, has_failed, now_ms)
+            return self._record_member_end(running, must_restart, has_failed, now_ms)
         if not must_restart:
             return None
         if has_failed:
@@ -302,7 +302,7 @@
         reason = state.queue_of(entry).reason_of(entry)
         return reason or state.requeue_reason_by_task.get(task, WAITING_IN_QUEUE)
 
-    def _member_ended(
+    def _record_member_end(
         self, running: RunningTask, must_restart: bool, has_failed: bool, now_ms: int
     ) -> QueuedTask | None:
         end = self._state.gangs.record_end(running, must_restart, has_failed)
--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -67,6 +67,7 @@
         self.may_start = may_start
         self.requeue_reason_by_task: dict[TaskId, str] = {}
         self._pending_stops: list[tuple[RunningTask, StopTask]] = []
+        # Requested checkpoints, oldest first: when each times out, and its task.
         self.checkpoints: deque[tuple[int, RunningTask]] = deque()
         self._queue_by_order: dict[str, TaskQueue] = {}
         self.policy_by_kind = {
@@ -92,7 +93,7 @@
         return None
 
     def has_left_queue(self, task: TaskId) -> bool:
-        """Return whether a task runs, is reserved for, or waits for its gang to end."""
+        """Return whether a task runs, has a reservation, or restarts with its gang."""
         return (
             self.running.find(task) is not None
             or self.reservations.find(task) is not None
@@ -144,7 +145,8 @@
     def stop(self, running: RunningTask, mode: StopMode, stopping: StopRequest) -> None:
         """Request that a running task stop.
 
-        A stop without requeueing is never replaced by a stop with requeueing.
+        An earlier request is replaced only if it requeues the task and this one does
+        not.
         """
         known = self.running.stop_request_of(running.task)
         if known is not None and (stopping.is_requeued or not known.is_requeued):
--- a/marjoramgrade/decisions/shares.py
+++ b/marjoramgrade/decisions/shares.py
@@ -79,29 +79,29 @@
         self._usage_by_team: dict[str, Resources] = {}
         # Weighted dominant shares, updated on each change of usage, so that choosing a
         # team compares plain numbers.
-        self._level_by_team: dict[str, float] = {}
+        self._weighted_share_by_team: dict[str, float] = {}
 
     def set_total(self, total: Resources) -> None:
         """Set the total capacity, of which shares are fractions."""
         self._total = total
         for team in self._usage_by_team:
-            self._update_level(team)
+            self._update_weighted_share(team)
 
     def set_weights(self, weight_by_team: Mapping[str, int]) -> None:
         """Set the weights; a team that is not listed has weight 1."""
         self._weight_by_team = dict(weight_by_team)
         for team in self._usage_by_team:
-            self._update_level(team)
+            self._update_weighted_share(team)
 
     def charge(self, team: str, amount: Resources) -> None:
         """Add an amount to the usage of a team."""
         self._usage_by_team[team] = self.usage_of(team) + amount
-        self._update_level(team)
+        self._update_weighted_share(team)
 
     def refund(self, team: str, amount: Resources) -> None:
         """Subtract an amount from the usage of a team."""
         self._usage_by_team[team] = self.usage_of(team) - amount
-        self._update_level(team)
+        self._update_weighted_share(team)
 
     def usage_of(self, team: str) -> Resources:
         """Return the resources that a team uses."""
@@ -109,7 +109,7 @@
 
     def weighted_share_of(self, team: str) -> float:
         """Return the dominant share of a team divided by its weight."""
-        return self._level_by_team.get(team, 0.0)
+        return self._weighted_share_by_team.get(team, 0.0)
 
     def mean_weighted_share(self, teams: Iterable[str]) -> float:
         """Return the weighted share of the teams if it were equal for all of them."""
@@ -120,10 +120,10 @@
             share += self.weighted_share_of(team) * team_weight
         return share / weight if weight else 0.0
 
-    def excess_of(self, team: str, level: float) -> float:
-        """Return the dominant share of a team above a weighted share, `level`."""
+    def excess_of(self, team: str, weighted_share: float) -> float:
+        """Return how far a team is above a weighted share, as a dominant share."""
         weight = self._weight_by_team.get(team, 1)
-        return weight * (self.weighted_share_of(team) - level)
+        return weight * (self.weighted_share_of(team) - weighted_share)
 
     def next_team(self, teams: Iterable[str]) -> str:
         """Return the team that is furthest below its share.
@@ -131,8 +131,8 @@
         Args:
             teams: Teams with queued work, at least one.
         """
-        levels = self._level_by_team
-        return min(teams, key=lambda team: (levels.get(team, 0.0), team))
+        share_by_team = self._weighted_share_by_team
+        return min(teams, key=lambda team: (share_by_team.get(team, 0.0), team))
 
     def distance_by_team(
         self, demand_by_team: Mapping[str, Resources]
@@ -151,7 +151,7 @@
             for team, share in fair.items()
         }
 
-    def _update_level(self, team: str) -> None:
+    def _update_weighted_share(self, team: str) -> None:
         weight = self._weight_by_team.get(team, 1)
         share = self._usage_by_team[team].dominant_share(self._total)
-        self._level_by_team[team] = share / weight
+        self._weighted_share_by_team[team] = share / weight
--- a/marjoramgrade/decisions/slots.py
+++ b/marjoramgrade/decisions/slots.py
@@ -13,7 +13,7 @@
 
 FIRST_BACKOFF_MS = 250
 MAX_BACKOFF_MS = 8_000
-FAILED_ANSWERS_ALLOWED = 3
+FAILED_RESPONSES_ALLOWED = 3
 # A request on a broken connection may still reach the server up to this much later.
 LATE_ARRIVAL_MS = 1_000
 # Probes without a lower count after which a server gets no requests until its count
@@ -30,7 +30,7 @@
         service: The service that it runs.
         capacity: Requests that it accepts at once: the smaller of its slots and
             its connections, since each request uses one of each.
-        in_flight: Requests of this owner that wait for an answer.
+        in_flight: Requests of this owner that wait for a response.
         untracked: Upper bound on slots used by requests of earlier owners and by
             requests that this owner abandoned.
         is_counted: Whether the server has reported its slots in use under the
@@ -42,10 +42,10 @@
             have ended, so that its count is exact.
         late_arrival_until_ms: A count requested before this time is ignored, since
             it may lack an abandoned request that has not reached the server yet.
-        failures: Consecutive failures since the last answer; sets the back-off.
+        failures: Consecutive failures since the last response; sets the back-off.
         failed_ms: Time of the last failure.
         probe_ms: Time from which a failed server is probed again.
-        failed_answers: Consecutive requests that the server ran and failed.
+        failed_responses: Consecutive requests that the server ran and failed.
     """
 
     backend_id: str
@@ -61,7 +61,7 @@
     failures: int = 0
     failed_ms: int = -1
     probe_ms: int = 0
-    failed_answers: int = 0
+    failed_responses: int = 0
     _stale_probes: int = 0
 
     @property
@@ -217,7 +217,7 @@
     def release(self, backend_id: str) -> None:
         """Release the slot of a request that the server answered.
 
-        An answer resets the back-off. A count does not, since a server may answer
+        A response resets the back-off. A count does not, since a server may answer
         probes and fail every request.
 
         Raises:
@@ -225,21 +225,21 @@
         """
         backend = self._end_request(backend_id)
         backend.failures = 0
-        backend.failed_answers = 0
+        backend.failed_responses = 0
 
     def release_failed(self, backend_id: str, now_ms: int) -> None:
         """Release the slot of a request that the server ran and failed.
 
         A server that fails every request at once always has free slots, so most
-        requests would go to it. After `FAILED_ANSWERS_ALLOWED` consecutive failures
+        requests would go to it. After `FAILED_RESPONSES_ALLOWED` consecutive failures
         it is therefore marked as failed and backed off from.
 
         Raises:
             ValueError: If this owner holds no slot of the server.
         """
         backend = self._end_request(backend_id)
-        backend.failed_answers += 1
-        if backend.failed_answers >= FAILED_ANSWERS_ALLOWED:
+        backend.failed_responses += 1
+        if backend.failed_responses >= FAILED_RESPONSES_ALLOWED:
             self.mark_failed(backend_id, now_ms)
 
     def abandon(self, backend_id: str, now_ms: int) -> None:
--- a/marjoramgrade/decisions/workers.py
+++ b/marjoramgrade/decisions/workers.py
@@ -12,7 +12,7 @@
 
 
 class OvercommitError(MarjoramgradeError):
-    """An allocation would exceed the capacity of a worker."""
+    """An allocation or release does not fit the capacity of a worker."""
 
     code = "overcommit"
 
@@ -203,7 +203,7 @@
             yield entry.node, entry.free - entry.held
 
     def iter_fitting(self, request: Resources) -> Iterator[WorkerNode]:
-        """Yield schedulable workers that fit a request, least available first."""
+        """Yield schedulable workers that a request fits on, least available first."""
         for worker_id in self._index.iter_fitting(request):
             yield self._entry_by_id[worker_id].node
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -67,7 +67,7 @@
 
 
 def test_a_lost_member_restarts_the_whole_gang() -> None:
-    """Guards against a gang that goes on in part, and a member that never restarts."""
+    """Guards against a gang that runs in part, and a member that never restarts."""
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=2))
     scheduler.submit(queued("gang", members=(0, 1, 2)), 0)
     placed = started(scheduler.step(0, 10))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -27,7 +27,7 @@
 
 
 def test_work_without_accelerators_avoids_workers_that_have_some() -> None:
-    """Guards against accelerators that idle as other work uses the worker's cores."""
+    """Guards against idle accelerators on workers whose cores other work uses."""
     pool = pool_of(node("w-0", cores=8))
     pool.add(node("w-1", cores=4))
     accelerated = node("w-2", cores=2)
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -64,7 +64,7 @@
 
 
 def test_freed_resources_stay_reserved_and_the_victim_loses_no_attempt() -> None:
-    """Guards against small tasks on freed resources, and an attempt charged."""
+    """Guards against small tasks that use freed resources, and a counted attempt."""
     scheduler = scheduler_of(node("w-0", cores=2))
     fill(scheduler, *(queued("a", index, "a") for index in range(9)))
     assert len(victims_of(scheduler, team="c", cores=2)) == 2
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -70,7 +70,7 @@
         queue.push(queued(f"j-{cores}", cores=cores, at_ms=cores), 100)
     tried = 0
     while entry := queue.peek(Priority.NORMAL):
-        queue.skip_shape(entry, "no room")
+        queue.skip_shape(entry, "no capacity")
         tried += 1
     assert tried == SHAPES_PER_ROUND
 
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -24,8 +24,8 @@
         self.jobs = 0
         self.schedulable_workers: set[str] = set()
         self.draining: set[str] = set()
-        # Tasks that the scheduler must hold, and the worker and resources of each task
-        # that runs according to the model.
+        # Tasks that must be queued or running, the worker and resources of each task
+        # that runs according to the model, and cancelled tasks that still run.
         self.unfinished: set[TaskId] = set()
         self.placed: dict[TaskId, tuple[str, Resources]] = {}
         self.dropped: set[TaskId] = set()
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -14,7 +14,7 @@
 
 from marjoramgrade.decisions.fencing import EpochFence
 from marjoramgrade.decisions.slots import (
-    FAILED_ANSWERS_ALLOWED,
+    FAILED_RESPONSES_ALLOWED,
     FIRST_BACKOFF_MS,
     LATE_ARRIVAL_MS,
     MAX_BACKOFF_MS,
@@ -53,7 +53,7 @@
 
 
 def test_connections_bound_requests_as_slots_do() -> None:
-    """Guards against more connections than the server takes."""
+    """Guards against more connections than the server accepts."""
     pool = SlotPool(random.Random(1))
     pool.add("b1", "quick", 8, 1)
     pool.record_count("b1", 0, asked_ms=0)
@@ -155,7 +155,7 @@
         self.fence = EpochFence()
         self.sent: list[Request] = []
         self.running: list[Request] = []
-        self.answers: list[Request] = []
+        self.responses: list[Request] = []
         self.counts: list[tuple[int, int, int]] = []
         self.take_over()
         self.probe(is_answered_at_once=True)
@@ -193,19 +193,19 @@
     @precondition(lambda self: self.running)
     @rule(pick=PICK)
     def finish_request(self, pick: int) -> None:
-        self.answers.append(self.running.pop(pick % len(self.running)))
+        self.responses.append(self.running.pop(pick % len(self.running)))
 
-    @precondition(lambda self: self.answers)
+    @precondition(lambda self: self.responses)
     @rule(pick=PICK)
     def deliver_answer(self, pick: int) -> None:
-        request = self.answers.pop(pick % len(self.answers))
+        request = self.responses.pop(pick % len(self.responses))
         if request.epoch == self.epoch and request.abandoned_ms is None:
             self.pool.release("b1")
 
     @rule(pick=PICK)
     def break_connection(self, pick: int) -> None:
-        every = self.sent + self.running + self.answers
-        own = [r for r in every if r.epoch == self.epoch and r.abandoned_ms is None]
+        requests = self.sent + self.running + self.responses
+        own = [r for r in requests if r.epoch == self.epoch and r.abandoned_ms is None]
         if own:
             own[pick % len(own)].abandoned_ms = self.now_ms
             self.pool.abandon("b1", self.now_ms)
@@ -254,8 +254,8 @@
             self, backend_id: str, service: str, slots: int, connections: int
         ) -> None:
             if backend_id not in self._backend_by_id:
-                made = backend_type(backend_id, service, min(slots, connections))
-                self._backend_by_id[backend_id] = made
+                backend = backend_type(backend_id, service, min(slots, connections))
+                self._backend_by_id[backend_id] = backend
             super().add(backend_id, service, slots, connections)
 
     class Machine(SlotMachine):
@@ -289,7 +289,7 @@
     pool = SlotPool(random.Random(1))
     pool.add("broken", "checks", 8, 64)
     pool.record_count("broken", 0, asked_ms=1)
-    for now_ms in range(2, 2 + FAILED_ANSWERS_ALLOWED):
+    for now_ms in range(2, 2 + FAILED_RESPONSES_ALLOWED):
         assert pool.acquire("checks") == "broken"
         pool.release_failed("broken", now_ms)
     assert pool.acquire("checks") is None
