--- a/marjoramgrade/decisions/shard_state.py
+++ b/marjoramgrade/decisions/shard_state.py
@@ -23,10 +23,10 @@
 from marjoramgrade.settings import PolicyNames
 
 WAITING_AT_LIMIT = "waiting: team at its upper limit"
-WAITING_FOR_CAPACITY = "waiting: no worker has room"
+WAITING_FOR_CAPACITY = "waiting: no worker has enough free capacity"
 WAITING_ABOVE_SHARE = "waiting: team is above its share, other teams are served first"
 WAITING_FOR_PREEMPTION = "waiting: running work is being stopped to free capacity"
-WAITING_FOR_RESERVATION = "waiting: room is kept as it becomes free"
+WAITING_FOR_RESERVATION = "waiting: capacity is reserved as it becomes free"
 WAITING_IN_QUEUE = "waiting: other work is scheduled first"
 
 MayStart = Callable[[str, Resources], bool]
@@ -67,6 +67,7 @@
         self.may_start = may_start
         self.requeue_reason_by_task: dict[TaskId, str] = {}
         self._pending_stops: list[tuple[RunningTask, StopTask]] = []
+        # Requested checkpoints, oldest first: when each times out, and its task.
         self.checkpoints: deque[tuple[int, RunningTask]] = deque()
         self._queue_by_order: dict[str, TaskQueue] = {}
         self.policy_by_kind = {
@@ -92,7 +93,7 @@
         return None
 
     def has_left_queue(self, task: TaskId) -> bool:
-        """Return whether a task runs, is reserved for, or waits for its gang to end."""
+        """Return whether a task runs, has a reservation, or restarts with its gang."""
         return (
             self.running.find(task) is not None
             or self.reservations.find(task) is not None
@@ -144,7 +145,8 @@
     def stop(self, running: RunningTask, mode: StopMode, stopping: StopRequest) -> None:
         """Request that a running task stop.
 
-        A stop without requeueing is never replaced by a stop with requeueing.
+        An earlier request is replaced only if it requeues the task and this one does
+        not.
         """
         known = self.running.stop_request_of(running.task)
         if known is not None and (stopping.is_requeued or not known.is_requeued):
