--- a/marjoramgrade/adapters/httperrors.py
+++ b/marjoramgrade/adapters/httperrors.py
@@ -1,4 +1,4 @@
-"""How errors look in HTTP answers."""
+"""Representation of errors in HTTP responses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def status_of(error: errors.MarjoramgradeError) -> int:
-    """Return the HTTP status of an error: that of its nearest listed type."""
+    """Return the status of the closest base class listed in `STATUS_BY_TYPE`."""
     for kind in type(error).__mro__:
         if kind in STATUS_BY_TYPE:
             return STATUS_BY_TYPE[kind]
@@ -35,7 +35,7 @@
 
 
 def error_document(error: errors.MarjoramgradeError) -> dict[str, Any]:
-    """Return the one form that all errors have."""
+    """Return the JSON document that represents an error in a response."""
     return {
         "error": {
             "code": error.code,
--- a/marjoramgrade/adapters/httpfront.py
+++ b/marjoramgrade/adapters/httpfront.py
@@ -1,7 +1,7 @@
-"""The HTTP interface for callers and operators.
+"""The HTTP interface for clients and operators.
 
-Every request becomes a message and passes the filter chain; the routes are
-registered in `httpresources`.
+Every request is parsed into a message and passes the filter chain. `httpresources`
+registers the routes.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 DEFAULT_DEADLINE_MS = 10_000
 MAX_DEADLINE_MS = 60_000
 MAX_HEADER_BYTES = 16_384
-# A caller that sends its body more slowly than this is cut off.
+# The connection is closed if the request body takes longer than this to arrive.
 BODY_TIMEOUT_MS = 10_000
 IDLE_TIMEOUT_MS = 60_000
 BEARER = "Bearer "
@@ -44,16 +44,16 @@
 
 @attrs.define
 class HttpServerState:
-    """What the handlers share.
+    """State that all handlers share.
 
     Attributes:
-        chain: The filter chain.
-        watch: Controller of the watches.
-        clock: Monotonic time.
-        metrics: Counts refusals before the chain.
-        max_body_bytes: Largest body that is taken.
-        is_ready: Whether new requests are taken.
-        in_flight: Requests that have not been answered.
+        chain: The filter chain that handles every request.
+        watch: Controller of the watch subscriptions.
+        clock: Monotonic clock.
+        metrics: Counts requests refused before they reach the chain.
+        max_body_bytes: Largest request body accepted, in bytes.
+        is_ready: Whether new requests are accepted.
+        in_flight: Number of requests without a response so far.
     """
 
     chain: FilterChain
@@ -66,37 +66,37 @@
 
 
 @attrs.frozen
-class _Call:
-    """A request and the context in which it passes the chain."""
+class _ParsedCall:
+    """A parsed request and its context for the filter chain."""
 
     call: HttpCall
     context: RequestContext
 
 
 class BaseHandler(RequestHandler):
-    """Base class of the handlers."""
+    """Base class of the request handlers."""
 
     def initialize(
         self, state: HttpServerState, operation_by_method: Mapping[str, Operation]
     ) -> None:
-        """Take over what the application hands to each handler."""
+        """Store the arguments from the route table; tornado calls this per request."""
         self.state = state
         self.operation_by_method = operation_by_method
 
     def set_default_headers(self) -> None:
-        """Keep the server's name out of the answers."""
+        """Omit the `Server` header from responses."""
         self.clear_header("Server")
 
     def secret(self) -> str:
-        """Return the secret of the key that came with the request, or empty."""
+        """Return the bearer token of the request, the secret of a key, or empty."""
         value = self.request.headers.get("Authorization", "")
         return value[len(BEARER) :] if value.startswith(BEARER) else ""
 
     def deadline_ms(self) -> int:
-        """Return the caller's deadline on this instance's clock.
+        """Return the request's deadline on this instance's clock, in milliseconds.
 
         Raises:
-            InvalidInputError: If the header is no number within bounds.
+            InvalidInputError: If `Deadline-Ms` is not a number within bounds.
         """
         text = self.request.headers.get("Deadline-Ms", str(DEFAULT_DEADLINE_MS))
         is_number = text.isascii() and text.isdigit() and len(text) <= 6
@@ -104,25 +104,25 @@
             raise InvalidInputError(f"Deadline-Ms must be 1 to {MAX_DEADLINE_MS}")
         return self.state.clock.now_ms() + int(text)
 
-    def answer_error(self, error: MarjoramgradeError) -> None:
-        """Answer with the one form that all errors have."""
+    def respond_with_error(self, error: MarjoramgradeError) -> None:
+        """Send an error response."""
         self.set_status(status_of(error))
         self.set_header("Ran", error.ran.value)
         self.set_header("Content-Type", "application/json")
         self.finish(jsontext.serialize_text(error_document(error)))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer failures that the HTTP library finds, in the same form."""
+        """Send failures that tornado detects in the same form as other errors."""
         error: MarjoramgradeError = InvalidInputError(self._reason)
         if status_code >= 500:
-            error = MarjoramgradeError("the request could not be handled")
+            error = MarjoramgradeError("internal error while handling the request")
         self.set_status(status_code)
         self.set_header("Content-Type", "application/json")
         self.finish(jsontext.serialize_text(error_document(error)))
 
 
 class OperationHandler(BaseHandler):
-    """Answers the operations that are registered for its path."""
+    """Handles the operations that are registered for its path."""
 
     async def _handle(self, *arguments: str) -> None:
         operation = self.operation_by_method.get(self.request.method or "")
@@ -134,24 +134,24 @@
             return
         self.state.in_flight += 1
         try:
-            await self._answer(operation, call)
+            await self._respond(operation, call)
         except MarjoramgradeError as error:
-            self.answer_error(error)
+            self.respond_with_error(error)
         finally:
             self.state.in_flight -= 1
 
     get = put = post = delete = _handle
 
-    def _parse_call(self, arguments: Sequence[str]) -> _Call | None:
-        """Return what the request asks for, or answer why that is unclear."""
+    def _parse_call(self, arguments: Sequence[str]) -> _ParsedCall | None:
+        """Return the parsed request, or send an error response and return None."""
         try:
             return self._parse(arguments)
         except MarjoramgradeError as error:
             self.state.metrics.refused(error)
-            self.answer_error(error)
+            self.respond_with_error(error)
             return None
 
-    def _parse(self, arguments: Sequence[str]) -> _Call:
+    def _parse(self, arguments: Sequence[str]) -> _ParsedCall:
         if not self.state.is_ready:
             raise ShuttingDownError("this instance is shutting down")
         if len(self.request.body) > self.state.max_body_bytes:
@@ -168,11 +168,11 @@
             deadline_ms - self.state.clock.now_ms(),
         )
         message = self.operation_by_method[self.request.method or ""].parse(call)
-        return _Call(
+        return _ParsedCall(
             call, RequestContext(message, self.secret(), request_id, deadline_ms)
         )
 
-    async def _answer(self, operation: Operation, parsed: _Call) -> None:
+    async def _respond(self, operation: Operation, parsed: _ParsedCall) -> None:
         reply = await self.state.chain.handle(parsed.context)
         answer = operation.serialize(parsed.call, reply)
         self.set_status(answer.status)
@@ -183,10 +183,10 @@
 
 
 class WatchHandler(BaseHandler):
-    """Streams changes as JSON lines until the caller goes away."""
+    """Streams changes as JSON lines until the client disconnects."""
 
     async def get(self) -> None:
-        """Stream the changes after a version."""
+        """Stream the changes after the version in the query parameter `after`."""
         try:
             after = self._parse_after()
             context = RequestContext(
@@ -194,7 +194,7 @@
             )
             subscription = await self.state.chain.handle(context)
         except MarjoramgradeError as error:
-            self.answer_error(error)
+            self.respond_with_error(error)
             return
         self.set_header("Content-Type", "application/x-ndjson")
         try:
@@ -206,7 +206,7 @@
         except (StreamClosedError, ShuttingDownError):
             return
         finally:
-            # The controller stops before the last watch has noticed the shutdown.
+            # At shutdown the controller may stop before this handler ends.
             with contextlib.suppress(ShuttingDownError):
                 self.state.watch.tell(Unsubscribe(subscription))
 
@@ -215,27 +215,27 @@
         if text == "":
             return None
         if not (text.isascii() and text.isdigit() and len(text) <= 18):
-            raise InvalidInputError("after must be a version")
+            raise InvalidInputError("after must be a version number")
         return int(text)
 
 
 class ReadyHandler(BaseHandler):
-    """Tells the balancer whether this instance takes requests."""
+    """Readiness endpoint for the load balancer."""
 
     def get(self) -> None:
-        """Answer 200 when ready and 503 when not."""
+        """Respond with 200 when requests are accepted and 503 otherwise."""
         if not self.state.is_ready:
-            self.answer_error(ShuttingDownError("this instance is shutting down"))
+            self.respond_with_error(ShuttingDownError("this instance is shutting down"))
             return
         self.finish("ready\n")
 
 
 class NotFoundHandler(BaseHandler):
-    """Answers paths that do not exist."""
+    """Handles paths without a route."""
 
     def prepare(self) -> None:
-        """Answer 404 in the form of all errors."""
-        error = InvalidInputError(f"there is nothing at {self.request.path[:100]}")
+        """Respond with 404 in the same form as other errors."""
+        error = InvalidInputError(f"no resource at {self.request.path[:100]}")
         self.set_status(404)
         self.set_header("Content-Type", "application/json")
         self.finish(jsontext.serialize_text(error_document(error)))
@@ -243,27 +243,32 @@
 
 def make_application(state: HttpServerState) -> Application:
     """Return the HTTP application of an entry instance."""
-    shared: dict[str, Any] = {"state": state, "operation_by_method": {}}
+    handler_arguments: dict[str, Any] = {"state": state, "operation_by_method": {}}
     routes: list[Any] = [
-        (path, OperationHandler, {**shared, "operation_by_method": operations})
+        (
+            path,
+            OperationHandler,
+            {**handler_arguments, "operation_by_method": operations},
+        )
         for path, operations in iter_paths()
     ]
-    routes.append((r"/v1/watch", WatchHandler, shared))
-    routes.append((r"/ready", ReadyHandler, shared))
+    routes.append((r"/v1/watch", WatchHandler, handler_arguments))
+    routes.append((r"/ready", ReadyHandler, handler_arguments))
     return Application(
         routes,
         default_handler_class=NotFoundHandler,
-        default_handler_args=shared,
+        default_handler_args=handler_arguments,
         compress_response=False,
     )
 
 
 def make_server(state: HttpServerState, max_body_bytes: int) -> HTTPServer:
-    """Return the HTTP server; it bounds what a caller can make it keep."""
+    """Return the HTTP server, with limits on the memory and time per client."""
     return HTTPServer(
         make_application(state),
         max_header_size=MAX_HEADER_BYTES,
-        # A larger body is cut off; up to this size it gets a typed answer.
+        # A connection with a larger body is closed; a body between the two limits
+        # gets a typed error response.
         max_body_size=2 * max_body_bytes,
         max_buffer_size=2 * max_body_bytes + MAX_HEADER_BYTES,
         body_timeout=BODY_TIMEOUT_MS / 1000,
--- a/marjoramgrade/adapters/httpresources.py
+++ b/marjoramgrade/adapters/httpresources.py
@@ -41,20 +41,21 @@
 
 JSON_HEADERS = {"Content-Type": "application/json"}
 MAX_JSON_BYTES = 1_048_576
-# Names may hold whatever documents accept; the filter and the parser check them.
+# Matches every name that documents accept; the filters and document parsers
+# validate names.
 NAME_PATTERN = r"([^/]{1,200})"
 
 
 @attrs.frozen
 class HttpCall:
-    """What an operation sees of an HTTP request.
+    """The parts of an HTTP request that operations use.
 
     Attributes:
-        arguments: Variable parts of the path.
-        headers: The headers.
-        body: The body.
-        request_id: Id of the request.
-        remaining_ms: Time left until the caller's deadline.
+        arguments: Variable parts of the path, in order.
+        headers: Request headers.
+        body: Request body.
+        request_id: The `Request-Id` header, or a generated id without it.
+        remaining_ms: Time left until the request's deadline, in milliseconds.
     """
 
     arguments: tuple[str, ...]
@@ -67,7 +68,7 @@
         """Return the JSON document in the body.
 
         Raises:
-            InvalidInputError: If the body holds none.
+            InvalidInputError: If the body is not valid JSON.
         """
         return jsontext.parse_text(self.body, max_bytes=MAX_JSON_BYTES, path="body")
 
@@ -75,20 +76,20 @@
         """Return the version in `If-Match`, or None without the header.
 
         Raises:
-            InvalidInputError: If the header holds no version.
+            InvalidInputError: If the header is not a version number.
         """
         text = self.headers.get("If-Match")
         if text is None:
             return None
         text = text.strip().strip('"')
         if not (text.isascii() and text.isdigit() and len(text) <= 18):
-            raise InvalidInputError("If-Match must hold one version")
+            raise InvalidInputError("If-Match must be a single version number")
         return int(text)
 
 
 @attrs.frozen
 class HttpResponse:
-    """A successful answer."""
+    """A successful response."""
 
     status: int
     body: bytes | str
@@ -101,7 +102,12 @@
 
 @attrs.frozen
 class Operation:
-    """One operation: how its message is made and how the reply is shown."""
+    """One method of a path.
+
+    Attributes:
+        parse: Turns the request into a message for the filter chain.
+        serialize: Turns the reply to the message into a response.
+    """
 
     parse: Parse
     serialize: Serialize
@@ -111,7 +117,13 @@
 
 
 def operation(method: str, path: str, serialize: Serialize) -> Callable[[Parse], Parse]:
-    """Return a decorator that registers the parser of an operation."""
+    """Return a decorator that registers an operation by its parser.
+
+    Args:
+        method: HTTP method.
+        path: Regular expression of the path; each group is one argument.
+        serialize: Turns the reply into a response.
+    """
 
     def add(parse: Parse) -> Parse:
         operations = _operations_by_path.setdefault(path, {})
@@ -126,7 +138,9 @@
     yield from _operations_by_path.items()
 
 
-def _json(document: Any, status: int = 200, version: int | None = None) -> HttpResponse:
+def _json_response(
+    document: Any, status: int = 200, version: int | None = None
+) -> HttpResponse:
     headers = dict(JSON_HEADERS)
     if version is not None:
         headers["ETag"] = f'"{version}"'
@@ -136,12 +150,12 @@
 # Requests
 
 
-def _show_run(call: HttpCall, reply: RunReply) -> HttpResponse:
+def _serialize_run(call: HttpCall, reply: RunReply) -> HttpResponse:
     headers = {"Ran": "yes", "Backend": reply.backend_id}
     return HttpResponse(reply.status, reply.body, headers)
 
 
-@operation("POST", rf"/v1/run/{NAME_PATTERN}", _show_run)
+@operation("POST", rf"/v1/run/{NAME_PATTERN}", _serialize_run)
 def _parse_run(call: HttpCall) -> RunRequest:
     text = call.headers.get("Idempotent", "false")
     if text not in ("true", "false"):
@@ -160,25 +174,25 @@
 # Jobs
 
 
-def _show_job(call: HttpCall, stored: StoredJob) -> HttpResponse:
+def _serialize_job(call: HttpCall, stored: StoredJob) -> HttpResponse:
     document = {**documents.serialize_job(stored.job), "version": stored.version}
-    return _json(document, version=stored.version)
+    return _json_response(document, version=stored.version)
 
 
-def _show_accepted(call: HttpCall, stored: StoredJob) -> HttpResponse:
-    return attrs.evolve(_show_job(call, stored), status=201)
+def _serialize_accepted_job(call: HttpCall, stored: StoredJob) -> HttpResponse:
+    return attrs.evolve(_serialize_job(call, stored), status=201)
 
 
-def _show_jobs(call: HttpCall, jobs: tuple[StoredJob, ...]) -> HttpResponse:
+def _serialize_jobs(call: HttpCall, jobs: tuple[StoredJob, ...]) -> HttpResponse:
     items = [
         {**documents.serialize_job(stored.job), "version": stored.version}
         for stored in jobs
     ]
     version = max((stored.version for stored in jobs), default=0)
-    return _json({"version": version, "items": items})
+    return _json_response({"version": version, "items": items})
 
 
-def _show_tasks(call: HttpCall, tasks: tuple[TaskStatus, ...]) -> HttpResponse:
+def _serialize_tasks(call: HttpCall, tasks: tuple[TaskStatus, ...]) -> HttpResponse:
     items = [
         {
             "task": str(status.task),
@@ -188,36 +202,36 @@
         }
         for status in tasks
     ]
-    return _json({"items": items})
+    return _json_response({"items": items})
 
 
-@operation("POST", r"/v1/jobs", _show_accepted)
+@operation("POST", r"/v1/jobs", _serialize_accepted_job)
 def _parse_submit(call: HttpCall) -> SubmitJob:
     document = call.document()
     if not isinstance(document, dict) or set(document) - {"job_id", "spec"}:
-        raise InvalidInputError("the body must hold only job_id and spec")
+        raise InvalidInputError("the body may contain only job_id and spec")
     job_id = document.get("job_id", uuid.uuid4().hex)
     spec = documents.parse_job_spec(document.get("spec"))
     return SubmitJob(documents.parse_job_id(job_id), spec)
 
 
-@operation("GET", r"/v1/jobs", _show_jobs)
-def _parse_list(call: HttpCall) -> ListJobs:
+@operation("GET", r"/v1/jobs", _serialize_jobs)
+def _parse_list_jobs(call: HttpCall) -> ListJobs:
     return ListJobs()
 
 
-@operation("GET", rf"/v1/jobs/{NAME_PATTERN}", _show_job)
+@operation("GET", rf"/v1/jobs/{NAME_PATTERN}", _serialize_job)
 def _parse_get_job(call: HttpCall) -> GetJob:
     return GetJob(call.arguments[0])
 
 
-@operation("DELETE", rf"/v1/jobs/{NAME_PATTERN}", _show_job)
+@operation("DELETE", rf"/v1/jobs/{NAME_PATTERN}", _serialize_job)
 def _parse_cancel(call: HttpCall) -> CancelJob:
     return CancelJob(call.arguments[0])
 
 
-@operation("GET", rf"/v1/jobs/{NAME_PATTERN}/tasks", _show_tasks)
-def _parse_tasks(call: HttpCall) -> GetTasks:
+@operation("GET", rf"/v1/jobs/{NAME_PATTERN}/tasks", _serialize_tasks)
+def _parse_get_tasks(call: HttpCall) -> GetTasks:
     return GetTasks("", call.arguments[0])
 
 
@@ -226,13 +240,13 @@
 
 @attrs.frozen
 class ConfigKind:
-    """How one type of resource appears in the interface.
+    """Representation of one type of configuration resource in the interface.
 
     Attributes:
-        kind: Plural name, as in the path.
+        kind: Plural name of the type, as in the path.
         get_resources: Returns the resources of this type by name.
-        parse: Makes a resource from a document.
-        serialize: Makes the document of a resource.
+        parse: Turns a document into a resource.
+        serialize: Turns a resource into a document.
     """
 
     kind: str
@@ -270,32 +284,33 @@
 
 
 def _register_config_kind(kind: ConfigKind) -> None:
-    """Register the operations that all types of configuration share."""
+    """Register the operations that every type of configuration resource has."""
 
-    def show_all(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
+    def serialize_all(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
         by_name = kind.get_resources(confirmed.config)
         items = [kind.serialize(by_name[name]) for name in sorted(by_name)]
         version = confirmed.config.version
-        return _json({"version": version, "items": items}, version=version)
+        return _json_response({"version": version, "items": items}, version=version)
 
-    def show_one(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
+    def serialize_one(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
         name = call.arguments[0]
-        found = kind.get_resources(confirmed.config).get(name)
-        if found is None:
-            raise NotFoundError(f"there is nothing named {name} in {kind.kind}")
+        resource = kind.get_resources(confirmed.config).get(name)
+        if resource is None:
+            raise NotFoundError(f"no resource named {name} in {kind.kind}")
         version = resource_version(confirmed.config, kind.kind, name)
-        return _json(kind.serialize(found), version=version)
+        return _json_response(kind.serialize(resource), version=version)
 
-    def show_changed(call: HttpCall, config: Config) -> HttpResponse:
+    def serialize_changed(call: HttpCall, config: Config) -> HttpResponse:
         name = call.arguments[0]
-        found = kind.get_resources(config).get(name)
-        if found is None:
-            # The version to wait for until the deletion is in force everywhere.
+        resource = kind.get_resources(config).get(name)
+        if resource is None:
+            # Clients wait for this version to know that the deletion is in force
+            # everywhere.
             document, version = {"name": name}, config.version
         else:
-            document = kind.serialize(found)
+            document = kind.serialize(resource)
             version = resource_version(config, kind.kind, name)
-        return _json({**document, "version": config.version}, version=version)
+        return _json_response({**document, "version": config.version}, version=version)
 
     def parse_get(call: HttpCall) -> GetConfig:
         return GetConfig()
@@ -304,45 +319,49 @@
         name = call.arguments[0]
         document = call.document()
         if not isinstance(document, dict) or document.get("name", name) != name:
-            raise InvalidInputError("the name in the body differs from the path")
+            raise InvalidInputError(
+                "the name in the body differs from the name in the path"
+            )
         value = kind.parse({**document, "name": name})
         return ChangeConfig(kind.kind, name, value, call.expected_version())
 
     def parse_delete(call: HttpCall) -> ChangeConfig:
         return ChangeConfig(kind.kind, call.arguments[0], None, call.expected_version())
 
-    one = rf"/v1/{kind.kind}/{NAME_PATTERN}"
-    operation("GET", rf"/v1/{kind.kind}", show_all)(parse_get)
-    operation("GET", one, show_one)(parse_get)
-    operation("DELETE", one, show_changed)(parse_delete)
+    item_path = rf"/v1/{kind.kind}/{NAME_PATTERN}"
+    operation("GET", rf"/v1/{kind.kind}", serialize_all)(parse_get)
+    operation("GET", item_path, serialize_one)(parse_get)
+    operation("DELETE", item_path, serialize_changed)(parse_delete)
     if kind.kind != "keys":
-        operation("PUT", one, show_changed)(parse_put)
+        operation("PUT", item_path, serialize_changed)(parse_put)
 
 
 for _kind in CONFIG_KINDS:
     _register_config_kind(_kind)
 
 
-def _show_granted(call: HttpCall, granted: KeyGranted) -> HttpResponse:
+def _serialize_granted_key(call: HttpCall, granted: KeyGranted) -> HttpResponse:
     document = documents.serialize_key_summary(granted.key)
-    return _json({**document, "secret": granted.secret}, version=granted.version)
+    return _json_response(
+        {**document, "secret": granted.secret}, version=granted.version
+    )
 
 
-@operation("PUT", rf"/v1/keys/{NAME_PATTERN}", _show_granted)
+@operation("PUT", rf"/v1/keys/{NAME_PATTERN}", _serialize_granted_key)
 def _parse_grant_key(call: HttpCall) -> GrantKey:
     document = call.document()
     if not isinstance(document, dict) or set(document) - {"name", "team"}:
-        raise InvalidInputError("the body must hold only the team")
+        raise InvalidInputError("the body may contain only name and team")
     secret = generate_secret()
     key = Key.from_secret(call.arguments[0], str(document.get("team", "")), secret)
-    checked = documents.parse_key(documents.serialize_key(key))
-    return GrantKey(checked, secret, call.expected_version())
+    validated = documents.parse_key(documents.serialize_key(key))
+    return GrantKey(validated, secret, call.expected_version())
 
 
 # Load and state
 
 
-def _show_summaries(call: HttpCall, summaries: Summaries) -> HttpResponse:
+def _serialize_summaries(call: HttpCall, summaries: Summaries) -> HttpResponse:
     shards: dict[str, dict[str, Any]] = {}
     for tasks in summaries.tasks:
         shards[tasks.shard] = {
@@ -368,7 +387,7 @@
     for instance in summaries.instances:
         known = by_zone.get(instance.zone, instance.config_version)
         by_zone[instance.zone] = min(known, instance.config_version)
-    return _json(
+    return _json_response(
         {
             "shards": [shards[name] for name in sorted(shards)],
             "config": {"version_by_zone": by_zone},
@@ -376,24 +395,24 @@
     )
 
 
-@operation("GET", r"/v1/status", _show_summaries)
+@operation("GET", r"/v1/status", _serialize_summaries)
 def _parse_status(call: HttpCall) -> GetSummaries:
     return GetSummaries()
 
 
-def _show_instances(instance_kind: InstanceKind) -> Serialize:
-    def show(call: HttpCall, instances: tuple[Instance, ...]) -> HttpResponse:
+def _serialize_instances(instance_kind: InstanceKind) -> Serialize:
+    def serialize_kind(call: HttpCall, instances: tuple[Instance, ...]) -> HttpResponse:
         items = [
             documents.serialize_instance(instance)
             for instance in instances
             if instance.kind is instance_kind
         ]
-        return _json({"items": items})
+        return _json_response({"items": items})
 
-    return show
+    return serialize_kind
 
 
-@operation("GET", r"/v1/workers", _show_instances(InstanceKind.WORKER))
-@operation("GET", r"/v1/backends", _show_instances(InstanceKind.BACKEND))
+@operation("GET", r"/v1/workers", _serialize_instances(InstanceKind.WORKER))
+@operation("GET", r"/v1/backends", _serialize_instances(InstanceKind.BACKEND))
 def _parse_instances(call: HttpCall) -> GetInstances:
     return GetInstances()
--- a/tests/test_httpfront.py
+++ b/tests/test_httpfront.py
@@ -29,24 +29,24 @@
 
 
 async def _exchange(requests: list[bytes]) -> tuple[list[bytes], MemoryMetrics]:
-    """Send raw requests, each on a connection of its own."""
+    """Send each raw request on its own connection; return responses and metrics."""
     metrics = MemoryMetrics()
     chain = FilterChain([EmptyFilter()], metrics)
     state = HttpServerState(chain, Actor(), SystemClock(), metrics, MAX_BODY_BYTES)
     server = make_server(state, MAX_BODY_BYTES)
     socket, port = bind_unused_port()
     server.add_socket(socket)
-    answers = []
+    responses = []
     for request in requests:
         stream = await TCPClient().connect("127.0.0.1", port)
         try:
             await stream.write(request)
-            answers.append(await asyncio.wait_for(stream.read_until_close(), 5))
+            responses.append(await asyncio.wait_for(stream.read_until_close(), 5))
         except StreamClosedError:
-            answers.append(b"")
+            responses.append(b"")
     server.stop()
     await server.close_all_connections()
-    return answers, metrics
+    return responses, metrics
 
 
 def _request(line: str, *headers: str, body: bytes = b"") -> bytes:
@@ -77,29 +77,31 @@
 def test_bad_input_gets_a_typed_answer(
     request_bytes: bytes, status: int, code: str
 ) -> None:
-    """Guards against answers that programs cannot read, and a process that ends."""
+    """Guards against error responses without a code, and against a crash."""
     valid = _request("GET /v1/jobs")
-    answers, _ = asyncio.run(_exchange([request_bytes, valid]))
-    head, _, body = answers[0].partition(b"\r\n\r\n")
+    responses, _ = asyncio.run(_exchange([request_bytes, valid]))
+    head, _, body = responses[0].partition(b"\r\n\r\n")
     assert int(head.split()[1]) == status
     assert json.loads(body)["error"]["code"] == code
-    assert answers[1].startswith(b"HTTP/1.1 200")
+    assert responses[1].startswith(b"HTTP/1.1 200")
 
 
 def test_hostile_bytes_end_only_their_connection() -> None:
-    """Guards against a caller that stops the instance for all others."""
-    hostile = [
+    """Guards against one client that stops the instance for all others."""
+    malformed_requests = [
         b"\x00\xff" * 100 + b"\r\n\r\n",
         _request("POST /v1/jobs", "Content-Length: 99999999"),
         _request("GET /v1/jobs", "A: " + "b" * 20_000),
         _request("GET /v1/jobs", "Transfer-Encoding: strange"),
     ]
-    answers, _ = asyncio.run(_exchange([*hostile, _request("GET /v1/jobs")]))
-    assert all(not answer.startswith(b"HTTP/1.1 200") for answer in answers[:3])
-    assert answers[-1].startswith(b"HTTP/1.1 200")
+    responses, _ = asyncio.run(
+        _exchange([*malformed_requests, _request("GET /v1/jobs")])
+    )
+    assert all(not answer.startswith(b"HTTP/1.1 200") for answer in responses[:3])
+    assert responses[-1].startswith(b"HTTP/1.1 200")
 
 
 def test_refusals_before_the_chain_are_counted() -> None:
-    """Guards against refusals that operators cannot see."""
+    """Guards against refused requests that are missing from the metrics."""
     _, metrics = asyncio.run(_exchange([_request("POST /v1/jobs", body=b"{")]))
     assert metrics.count_by_name["refused.invalid_input"] == 1
