--- a/marjoramgrade/adapters/peercodec.py
+++ b/marjoramgrade/adapters/peercodec.py
@@ -1,8 +1,8 @@
 """Frames between entry instances, encoded as Cap'n Proto.
 
-Each message type has one encoder and one decoder, registered by decorators
-under the name of its field in the frame's union; `peermessages` and `stepmessages`
-register theirs.
+Each message type has one encoder and one decoder, registered by a decorator
+under the name of its field in the frame's union. Importing `peermessages` and
+`stepmessages` registers the message types of those modules.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from marjoramgrade import errors
 
 MAX_FRAME_BYTES = 4 * 1_048_576
-# Traversal limit of one frame in words; bounds the work of a hostile frame.
+# Cap'n Proto traversal limit of one frame, in words; bounds the cost of decoding a
+# malicious frame.
 MAX_TRAVERSAL_WORDS = MAX_FRAME_BYTES // 4
 
 capnp.remove_import_hook()
@@ -44,9 +45,9 @@
     """Return a decorator that registers the encoder of a message type.
 
     Args:
-        message_type: The attrs class.
-        field: Name of the member of the frame's union.
-        decode: Turns the member back into the attrs class.
+        message_type: Type of the decoded message.
+        field: Name of the field in the frame's union.
+        decode: Turns the value of the field into an instance of the type.
     """
 
     def add(encode: Encoder) -> Encoder:
@@ -60,7 +61,13 @@
 
 @attrs.frozen
 class PeerFrame:
-    """One decoded frame; `body` is a message, a reply or an error."""
+    """One decoded frame.
+
+    Attributes:
+        correlation: Number that matches a reply to its call; 0 if no reply is
+            expected.
+        body: A message, a reply or an error.
+    """
 
     correlation: int
     body: Any
@@ -68,7 +75,7 @@
 
 @attrs.frozen
 class Hello:
-    """The first frame on a connection: who dialled."""
+    """The first message on a connection; identifies the connecting instance."""
 
     instance_id: str
 
@@ -79,10 +86,10 @@
 
 
 def serialize_frame(frame: PeerFrame) -> bytes:
-    """Return the bytes of a frame.
+    """Encode a frame; an error without its own encoder is sent by its code.
 
     Raises:
-        ProtocolError: If the body has no encoder.
+        ProtocolError: If no encoder is registered for the body.
         OversizedInputError: If the frame is larger than `MAX_FRAME_BYTES`.
     """
     body_type = type(frame.body)
@@ -91,19 +98,21 @@
         body_type = errors.MarjoramgradeError
     codec = _codec_by_type.get(body_type)
     if codec is None:
-        raise errors.ProtocolError(f"{body_type.__name__} has no encoding")
+        raise errors.ProtocolError(f"no encoder is registered for {body_type.__name__}")
     content = {"correlation": frame.correlation, codec.field: codec.encode(frame.body)}
     data: bytes = _schema.Frame.new_message(**content).to_bytes()
     if len(data) > MAX_FRAME_BYTES:
-        raise errors.OversizedInputError(f"a frame of {len(data)} bytes is too large")
+        raise errors.OversizedInputError(
+            f"frame of {len(data)} bytes exceeds the maximum size"
+        )
     return data
 
 
 def parse_frame(data: bytes) -> PeerFrame:
-    """Return the frame that these bytes hold.
+    """Decode a frame.
 
     Raises:
-        ProtocolError: If the bytes are no valid frame.
+        ProtocolError: If the bytes are not a valid frame.
     """
     try:
         with _schema.Frame.from_bytes(
@@ -138,14 +147,17 @@
 
 
 def _make_converter() -> Converter:
-    """Return a converter between attrs classes and structs of the same fields."""
+    """Return a converter between attrs classes and Cap'n Proto structs.
+
+    The structs have the same fields as the classes, named in camel case.
+    """
     converter = Converter()
 
     def unstructure(kind: type) -> Callable[[Any], Any]:
-        return make_dict_unstructure_fn(kind, converter, **_renamed(kind))
+        return make_dict_unstructure_fn(kind, converter, **_make_overrides(kind))
 
     def structure(kind: type) -> Callable[[Any, Any], Any]:
-        return make_dict_structure_fn(kind, converter, **_renamed(kind))
+        return make_dict_structure_fn(kind, converter, **_make_overrides(kind))
 
     converter.register_unstructure_hook_factory(attrs.has, unstructure)
     converter.register_structure_hook_factory(attrs.has, structure)
@@ -153,14 +165,14 @@
     return converter
 
 
-def _renamed(kind: type) -> dict[str, Any]:
+def _make_overrides(kind: type) -> dict[str, Any]:
     return {
-        field.name: override(rename=_field_name(field.name))
+        field.name: override(rename=_to_camel_case(field.name))
         for field in attrs.fields(kind)
     }
 
 
-def _field_name(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     first, *rest = name.split("_")
     return first + "".join(word.capitalize() for word in rest)
 
@@ -169,10 +181,11 @@
 
 
 def register_message_type(message_type: type) -> None:
-    """Register a message type whose struct has the fields of the attrs class.
+    """Register a message type whose Cap'n Proto struct has the same fields.
 
     Args:
-        message_type: The attrs class; the member of the frame's union has its name.
+        message_type: The attrs class. The field in the frame's union has its name,
+            with a lower-case first letter.
     """
     attrs.resolve_types(message_type)
     name = message_type.__name__
--- a/marjoramgrade/adapters/peerlink.py
+++ b/marjoramgrade/adapters/peerlink.py
@@ -1,7 +1,7 @@
 """Connections between entry instances: length-prefixed frames over TCP.
 
-Each instance dials every other one and sends its own calls on the connection
-that it dialled; replies return on the same connection, matched by a number.
+Each instance connects to every other instance and sends its calls on the connection
+that it opened. Replies return on the same connection, matched by a correlation number.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 )
 
 CONNECT_TIMEOUT_MS = 1_000
-# Bytes that may wait in one connection before further calls are refused.
+# Limit of unsent bytes per connection; further calls are refused above it.
 MAX_UNSENT_BYTES = 8 * 1_048_576
 _LENGTH = struct.Struct(">I")
 
@@ -54,17 +54,17 @@
     """Read one frame.
 
     Raises:
-        StreamClosedError: If the connection ended.
+        StreamClosedError: If the connection is closed.
         ProtocolError: If the frame is invalid or too large.
     """
     (length,) = _LENGTH.unpack(await stream.read_bytes(_LENGTH.size))
     if length > MAX_FRAME_BYTES:
-        raise ProtocolError(f"a frame of {length} bytes is too large")
+        raise ProtocolError(f"frame of {length} bytes exceeds the maximum size")
     return parse_frame(await stream.read_bytes(length))
 
 
 def write_frame(stream: IOStream, frame: PeerFrame) -> None:
-    """Queue one frame for sending; a closed stream is noticed by the reader.
+    """Queue one frame for sending; the reading task detects a closed stream.
 
     Raises:
         OversizedInputError: If the frame is too large.
@@ -75,11 +75,11 @@
 
 
 class PeerLink(Actor):
-    """The connection that this instance dials to one peer.
+    """The outgoing connection to one peer, opened when first needed.
 
     Args:
-        own_id: Instance id of this instance.
-        own_host: IP number that connections leave from.
+        own_id: Id of this instance.
+        own_host: Source IP address of the connection.
         member: The peer.
     """
 
@@ -105,38 +105,38 @@
 
     @handles(TellOverLink)
     async def _tell(self, message: TellOverLink) -> None:
-        self.spawn(self._send_quietly(message))
+        self.spawn(self._send_without_reply(message))
 
-    async def _send_quietly(self, message: TellOverLink) -> None:
+    async def _send_without_reply(self, message: TellOverLink) -> None:
         try:
-            write_frame(await self._connected(), PeerFrame(0, message.message))
+            write_frame(await self._get_stream(), PeerFrame(0, message.message))
         except (MarjoramgradeError, StreamClosedError, StreamBufferFullError):
             return
 
     async def _exchange(self, call: CallOverLink) -> Any:
-        stream = await self._connected()
+        stream = await self._get_stream()
         self._correlation += 1
-        number, frames_read = self._correlation, self._frames_read
+        correlation, frames_read = self._correlation, self._frames_read
         reply = asyncio.get_running_loop().create_future()
-        self._reply_by_correlation[number] = reply
+        self._reply_by_correlation[correlation] = reply
         try:
-            write_frame(stream, PeerFrame(number, call.message))
+            write_frame(stream, PeerFrame(correlation, call.message))
             return await asyncio.wait_for(reply, call.timeout_ms / 1000)
         except StreamBufferFullError:
             raise OwnerUnreachableError(
-                f"{self._member.instance_id} does not read its connection"
+                f"{self._member.instance_id} does not read from the connection"
             ) from None
         except (TimeoutError, StreamClosedError) as error:
             if isinstance(error, TimeoutError) and self._frames_read == frames_read:
-                # Nothing at all came back: the connection may have gone silent.
+                # No frame arrived since the call was sent: the connection may be dead.
                 stream.close()
             raise OutcomeUnknownError(
                 f"{self._member.instance_id} did not reply"
             ) from None
         finally:
-            self._reply_by_correlation.pop(number, None)
+            self._reply_by_correlation.pop(correlation, None)
 
-    async def _connected(self) -> IOStream:
+    async def _get_stream(self) -> IOStream:
         if self._stream is not None and not self._stream.closed():
             return self._stream
         if self._connecting is None:
@@ -189,19 +189,19 @@
             if not reply.done():
                 reply.set_exception(
                     OutcomeUnknownError(
-                        f"the connection to {self._member.instance_id} broke"
+                        f"connection to {self._member.instance_id} was lost"
                     )
                 )
         self._reply_by_correlation.clear()
 
 
 class PeerServer(TCPServer):
-    """Accepts the connections that other entry instances dial.
+    """Accepts connections from other entry instances.
 
     Args:
         receiver: The actor that handles `InboundMessage` messages.
-        disconnect_receiver: Told with `PeerDisconnected` of connections that end, or
-            None.
+        disconnect_receiver: The actor that receives `PeerDisconnected` when a
+            connection ends, or None.
     """
 
     def __init__(
@@ -211,16 +211,16 @@
         self._receiver = receiver
         self._disconnect_receiver = disconnect_receiver
         self._streams: set[IOStream] = set()
-        self._running: set[asyncio.Task[None]] = set()
+        self._call_tasks: set[asyncio.Task[None]] = set()
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Serve one connection until it ends."""
+        """Serve one connection until it is closed."""
         self._streams.add(stream)
         stream.set_nodelay(True)
         try:
             hello = (await read_frame(stream)).body
             if not isinstance(hello, Hello):
-                raise ProtocolError("the first frame must be a hello")
+                raise ProtocolError("the first frame of a connection must be a hello")
             await self._serve_frames(stream, hello.instance_id)
         except StreamClosedError:
             return
@@ -240,16 +240,16 @@
                     self._disconnect_receiver.tell(PeerDisconnected(peer_id))
 
     async def close(self) -> None:
-        """Stop accepting, let running calls end, and close every connection."""
+        """Stop accepting, wait for running calls, and close every connection."""
         self.stop()
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self._call_tasks, return_exceptions=True)
         for stream in list(self._streams):
             stream.close()
 
-    def _spawn(self, work: Awaitable[None]) -> None:
-        task = asyncio.ensure_future(work)
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+    def _spawn(self, awaitable: Awaitable[None]) -> None:
+        task = asyncio.ensure_future(awaitable)
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
 
     async def _serve(self, stream: IOStream, peer_id: str, frame: PeerFrame) -> None:
         try:
--- a/marjoramgrade/adapters/peermessages.py
+++ b/marjoramgrade/adapters/peermessages.py
@@ -1,4 +1,8 @@
-"""Encodings of the messages about requests, jobs of single tasks and promises."""
+"""Encodings of the messages about requests, jobs of single tasks and promises.
+
+A promise is a time-limited guarantee of a peer to change nothing that others rely
+on while the table is unreachable.
+"""
 
 from __future__ import annotations
 
--- a/marjoramgrade/adapters/stepmessages.py
+++ b/marjoramgrade/adapters/stepmessages.py
@@ -1,4 +1,4 @@
-"""Encodings of the messages about jobs of steps and the rows that hold them."""
+"""Encodings of the messages about step jobs and the rows that store them."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     register_message_type(_message_type)
 
 
-def _parse_rows_differ(data: Any) -> errors.RowCheckFailedError:
+def _parse_row_check_failed(data: Any) -> errors.RowCheckFailedError:
     page = converter.structure(
         {"rows": data.to_dict(verbose=True)["rows"], "version": 0}, rows.RowsPage
     )
     return errors.RowCheckFailedError("a row has changed", page.rows)
 
 
-@encodes(errors.RowCheckFailedError, "rowsDiffer", _parse_rows_differ)
-def _serialize_rows_differ(error: errors.RowCheckFailedError) -> dict[str, Any]:
+@encodes(errors.RowCheckFailedError, "rowsDiffer", _parse_row_check_failed)
+def _serialize_row_check_failed(error: errors.RowCheckFailedError) -> dict[str, Any]:
     return {"rows": converter.unstructure(error.rows)}
--- a/tests/test_peercodec.py
+++ b/tests/test_peercodec.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("body", BODIES, ids=lambda body: type(body).__name__)
 def test_every_message_survives_a_round_trip(body: object) -> None:
-    """Guards against a field that is lost between entry instances."""
+    """Guards against message fields that are lost between entry instances."""
     assert parse_frame(serialize_frame(PeerFrame(5, body))) == PeerFrame(5, body)
 
 
@@ -59,7 +59,7 @@
 
 
 def test_an_oversized_frame_is_refused_before_it_is_sent() -> None:
-    """Guards against a peer that has to keep an unbounded frame."""
+    """Guards against a peer that has to buffer a frame of unbounded size."""
     reply = RunReply(200, bytes(MAX_FRAME_BYTES), "b")
     with pytest.raises(errors.OversizedInputError):
         serialize_frame(PeerFrame(1, reply))
@@ -68,15 +68,15 @@
 @settings(derandomize=True, database=None, deadline=None, max_examples=300)
 @given(st.binary(max_size=400))
 def test_hostile_frames_raise_only_protocol_errors(data: bytes) -> None:
-    """Guards against a process that ends because of a peer's bytes."""
+    """Guards against a crash caused by malformed bytes from a peer."""
     try:
         parse_frame(data)
     except errors.ProtocolError:
         return
 
 
-def test_messages_about_steps_go_there_and_back():
-    # Guards against a field that one side writes and the other does not read.
+def test_step_messages_survive_a_round_trip():
+    # Guards against fields that the encoder writes and the decoder does not read.
     job = StepJob(
         "5c0e7a21d94b36f8",
         "queue",
@@ -114,7 +114,8 @@
 
 
 def test_rows_that_differ_reach_the_instance_that_asked():
-    # Guards against a relayed check that failed without the rows to go on from.
+    # Guards against a relayed check failure without the current rows, which the
+    # requesting instance needs to retry.
     row = rows.StoredRow(rows.RowId("jobs", "p0", "a"), b"x", 3)
     error = errors.RowCheckFailedError("changed", (row,))
     parsed = parse_frame(serialize_frame(PeerFrame(1, error))).body
--- a/tests/test_peerlink.py
+++ b/tests/test_peerlink.py
@@ -1,4 +1,4 @@
-"""Connections between entry instances."""
+"""Tests of the connections between entry instances."""
 
 from __future__ import annotations
 
@@ -33,14 +33,15 @@
         self.received.append(message)
 
 
-async def until(condition):
+async def wait_until(condition):
     async with asyncio.timeout(4):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_end_of_a_connection_that_a_peer_dialled_is_told():
-    # Guards against a leader whose end is noticed only by its silence.
+def test_end_of_an_incoming_connection_is_reported():
+    # Guards against a leader failure that is detected only by missing heartbeats,
+    # although its connection has closed.
     async def run():
         receiver = Receiver()
         socket, port = bind_unused_port()
@@ -53,8 +54,8 @@
             stack.push_async_callback(server.close)
             await link.start()
             link.tell(TellOverLink(LeaderBeat(1, "b")))
-            await until(lambda: receiver.received == [LeaderBeat(1, "b")])
+            await wait_until(lambda: receiver.received == [LeaderBeat(1, "b")])
             await link.stop()
-            await until(lambda: PeerDisconnected("b") in receiver.received)
+            await wait_until(lambda: PeerDisconnected("b") in receiver.received)
 
     asyncio.run(run())
