--- a/marjoramgrade/filters/access.py
+++ b/marjoramgrade/filters/access.py
@@ -1,4 +1,4 @@
-"""Filters that decide who may do what."""
+"""Filters that authenticate and authorize requests."""
 
 from __future__ import annotations
 
@@ -25,30 +25,31 @@
 from marjoramgrade.model import Config, hash_secret
 
 AccessRule = Callable[[Any, Principal, Config, Actor], Awaitable[None]]
-_permit_by_type: dict[type, AccessRule] = {}
+_rule_by_type: dict[type, AccessRule] = {}
 
 
 def access_rule(
     *message_types: type[Message[Any]],
 ) -> Callable[[AccessRule], AccessRule]:
-    """Return a decorator that registers the rule for these messages."""
+    """Return a decorator that registers a rule for these message types."""
 
-    def add(permit: AccessRule) -> AccessRule:
+    def register(rule: AccessRule) -> AccessRule:
         for message_type in message_types:
-            _permit_by_type[message_type] = permit
-        return permit
+            _rule_by_type[message_type] = rule
+        return rule
 
-    return add
+    return register
 
 
 @FILTERS.register("authenticate")
 class AuthenticateFilter(Filter):
-    """Finds out whose key came with a request.
+    """Identifies the sender of a request by its key.
 
     Args:
-        config: Controller of the configuration.
-        clock: Monotonic time.
-        operator_key_sha256: Hash of the operators' key, or empty.
+        config: Configuration controller.
+        clock: Monotonic clock.
+        operator_key_sha256: SHA-256 hash of the operators' key; empty if there is
+            no such key.
     """
 
     def __init__(self, config: Actor, clock: Clock, operator_key_sha256: str) -> None:
@@ -58,7 +59,7 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> AuthenticateFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls(
             environment.config,
             environment.clock,
@@ -86,17 +87,19 @@
         if key is not None:
             return Principal(key.name, key.team)
         if self._clock.now_ms() >= confirmed.fresh_until_ms:
-            raise StaleAuthorityError("the key may be newer than the known keys")
+            raise StaleAuthorityError(
+                "the key is unknown, but the configuration may be out of date"
+            )
         raise UnauthenticatedError("the key is unknown or was withdrawn")
 
 
 @FILTERS.register("authorize")
 class AuthorizeFilter(Filter):
-    """Applies the rule that is registered for the type of the message.
+    """Applies the access rule registered for the type of the message.
 
     Args:
-        config: Controller of the configuration.
-        jobs: Controller of the jobs.
+        config: Configuration controller.
+        jobs: Job controller, which knows the team of a job.
     """
 
     def __init__(self, config: Actor, jobs: Actor) -> None:
@@ -105,20 +108,20 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> AuthorizeFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls(environment.config, environment.jobs)
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Refuse what the principal may not do; no rule means operators only."""
+        """Refuse what the principal may not do; without a rule only operators may."""
         confirmed = await self._config.ask(GetConfig())
-        permit = _permit_by_type.get(type(context.message), require_operator)
-        await permit(context.message, context.principal, confirmed.config, self._jobs)
-        message = _narrow(context.message, context.principal)
+        rule = _rule_by_type.get(type(context.message), require_operator)
+        await rule(context.message, context.principal, confirmed.config, self._jobs)
+        message = _restrict_to_team(context.message, context.principal)
         return await proceed(attrs.evolve(context, message=message))
 
 
-def _narrow(message: Message[Any], principal: Principal) -> Message[Any]:
-    """Return the message with the principal's team filled in."""
+def _restrict_to_team(message: Message[Any], principal: Principal) -> Message[Any]:
+    """Return the message restricted to the principal's team."""
     if isinstance(message, RunRequest):
         return attrs.evolve(message, team=principal.team, key_name=principal.key_name)
     if isinstance(message, ListJobs | Subscribe):
@@ -131,14 +134,14 @@
 ) -> None:
     """Permit operators only."""
     if not principal.is_operator:
-        raise ForbiddenError("this operation needs the operators' key")
+        raise ForbiddenError("this operation requires the operators' key")
 
 
 @access_rule(ListJobs, Subscribe)
-async def _permit_narrowed(
+async def _permit_everyone(
     message: Any, principal: Principal, config: Config, jobs: Actor
 ) -> None:
-    """Permit everyone; the message is narrowed to the principal's team."""
+    """Permit everyone; `_restrict_to_team` limits what the principal sees."""
 
 
 @access_rule(RunRequest)
@@ -149,7 +152,7 @@
     if service is None:
         raise NotFoundError(f"there is no service {message.service}")
     if principal.is_operator:
-        raise ForbiddenError("requests need the key of a team")
+        raise ForbiddenError("requests require the key of a team")
     if service.team not in ("", principal.team):
         raise ForbiddenError(f"service {service.name} belongs to another team")
 
--- a/marjoramgrade/filters/chain.py
+++ b/marjoramgrade/filters/chain.py
@@ -1,4 +1,4 @@
-"""The chain of filters that every request of a caller or operator passes."""
+"""The chain of filters that every request of a client or operator passes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from marjoramgrade.registry import Registry
 
 if TYPE_CHECKING:
-    # The chain of queues is built without the settings of the `/v1` interface.
+    # The queue filters share this module and run without the settings of the
+    # `/v1` interface.
     from marjoramgrade.settings import EntrySettings
 
 Proceed = Callable[[RequestContext], Awaitable[Any]]
@@ -24,15 +25,15 @@
 
 @attrs.frozen
 class FilterEnvironment:
-    """What filters are built from.
+    """Settings, services and actors that filters are built from.
 
     Attributes:
         settings: Settings of this instance.
-        clock: Monotonic time.
+        clock: Monotonic clock.
         metrics: Counters.
-        config: Controller of the configuration.
-        routes: Controller of the routes to shards.
-        jobs: Controller of the jobs.
+        config: Configuration controller.
+        routes: Controller that routes requests to shards.
+        jobs: Job controller.
         instances: Controller of the platform's instance list.
         watch: Controller of the watches.
     """
@@ -57,14 +58,14 @@
 
     @abc.abstractmethod
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Handle a request, usually by letting it proceed.
+        """Handle a request, usually by passing it on with `proceed`.
 
         Args:
             context: The request.
-            proceed: Hands the request to the rest of the chain.
+            proceed: Passes the request to the rest of the chain.
 
         Returns:
-            The reply to the caller.
+            The reply to the client.
 
         Raises:
             MarjoramgradeError: If the request is refused or fails.
@@ -75,10 +76,10 @@
 
 
 class FilterChain:
-    """Filters in order; the last one answers.
+    """Passes requests through filters in order; the last filter replies.
 
     Args:
-        filters: The filters.
+        filters: The filters in the order of their use.
         metrics: Counts each refusal by its code.
     """
 
@@ -88,7 +89,7 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> FilterChain:
-        """Return the chain that the settings name.
+        """Build the chain of the filters that the settings name.
 
         Raises:
             UnknownNameError: If a filter is not registered.
--- a/marjoramgrade/filters/context.py
+++ b/marjoramgrade/filters/context.py
@@ -1,4 +1,4 @@
-"""What travels through the filter chain."""
+"""The request that passes through the filter chain, and its sender."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @attrs.frozen
 class Principal:
-    """Who sent a request.
+    """The sender of a request.
 
     Attributes:
         key_name: Name of the key, empty for operators.
         team: Team of the key, empty for operators.
-        is_operator: Whether the operators' key came with the request.
+        is_operator: Whether the request was sent with the operators' key.
     """
 
     key_name: str = ""
@@ -30,16 +30,16 @@
 
 @attrs.define
 class RequestContext:
-    """One request on its way through the chain.
+    """One request and what the filters have found out about it.
 
     Attributes:
-        message: What the caller asks for; filters may replace it.
-        secret: Secret of the key that came with it, or empty.
-        request_id: Id that the caller chose, or empty.
-        deadline_ms: The caller's deadline on this instance's clock.
-        principal: Who sent it; set by the `authenticate` filter.
-        queue: The queue that it is for; set by the `find_queue` filter.
-        config_version: Configuration that the filters have gone by.
+        message: The client's request; filters may replace it.
+        secret: Secret of the key sent with the request, or empty.
+        request_id: Id chosen by the client, or empty.
+        deadline_ms: The client's deadline in ms on this instance's clock.
+        principal: The sender; set by the `authenticate` filter.
+        queue: The queue addressed; set by the `find_queue` filter.
+        config_version: Version of the configuration that the filters used.
     """
 
     message: Message[Any]
--- a/marjoramgrade/filters/queues.py
+++ b/marjoramgrade/filters/queues.py
@@ -1,4 +1,4 @@
-"""Filters for the calls of callers to queues."""
+"""Filters for the requests of clients to queues."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 
 DEFAULT_QUEUE_FILTERS = ("find_queue", "check_key", "check_job", "hand_over")
 
-# An instance that has just started reads the configuration within some 50 ms; a caller
-# that is refused meanwhile comes back a second later.
+# Longest wait for the first configuration. An instance that has just started reads it
+# within some 50 ms, whereas a client that is refused retries only a second later.
 FIRST_CONFIG_TIMEOUT_MS = 400
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
@@ -45,13 +45,13 @@
 
 @attrs.frozen
 class QueueFilterEnvironment:
-    """What the filters of queues are built from.
+    """Services and actors that queue filters are built from.
 
     Attributes:
-        clock: Time.
+        clock: Gives the time at which a job is accepted.
         metrics: Counters.
-        directory: Has the configuration.
-        forwarder: Hands requests to the leader.
+        directory: Actor that holds the configuration.
+        forwarder: Actor that forwards requests to the leader.
     """
 
     clock: Clock
@@ -64,10 +64,10 @@
 
 
 class QueueFilter(Filter):
-    """Base class of the filters of queues.
+    """Base class of queue filters.
 
     Args:
-        environment: What it is built from.
+        environment: Services and actors that the filter uses.
     """
 
     def __init__(self, environment: QueueFilterEnvironment) -> None:
@@ -75,10 +75,10 @@
 
     @classmethod
     def from_config(cls, environment: Any) -> QueueFilter:
-        """Return a filter for this instance."""
+        """Build the filter from its environment."""
         return cls(environment)
 
-    async def _config(self) -> StepConfig:
+    async def _get_config(self) -> StepConfig:
         directory = self._environment.directory
         config = await directory.ask(GetStepConfig())
         if not config.version:
@@ -88,12 +88,12 @@
 
 @QUEUE_FILTERS.register("find_queue")
 class FindQueueFilter(QueueFilter):
-    """Finds the queue by host and path."""
+    """Finds the queue by the host and path of the request."""
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Let the request proceed with its queue."""
-        request = _request(context)
-        config = await self._config()
+        """Set the queue of the request and pass the request on."""
+        request = _request_of(context)
+        config = await self._get_config()
         queue = config.find_queue(request.host, request.path)
         if queue is None:
             raise QueueNotFoundError(f"no queue at {request.host}{request.path}")
@@ -105,47 +105,47 @@
 
 @QUEUE_FILTERS.register("check_key")
 class CheckKeyFilter(QueueFilter):
-    """Finds the team by the key, which only public queues do without."""
+    """Finds the team by the key; only public queues accept requests without a key."""
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Let the request proceed with its team."""
-        config = await self._config()
+        """Set the team of the request and pass the request on."""
+        config = await self._get_config()
         team = config.find_team(context.secret) if context.secret else None
         if team is not None:
             context.principal = Principal(team=team.name)
-        elif not _queue(context).public:
+        elif not _queue_of(context).public:
             raise UnauthenticatedError("the key is missing or unknown")
         return await proceed(context)
 
 
 @QUEUE_FILTERS.register("check_job")
 class CheckJobFilter(QueueFilter):
-    """Turns the call into the message that the leader answers."""
+    """Converts the request into a message to the leader."""
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Let the request proceed as a message about one job or one queue."""
-        request, queue = _request(context), _queue(context)
+        """Replace the request by a message about one job or one queue."""
+        request, queue = _request_of(context), _queue_of(context)
         job_id = context.request_id
         if request.verb is QueueVerb.COUNT:
             context.message = CountPending(queue.name, context.config_version)
             return await proceed(context)
         if not _JOB_ID.fullmatch(job_id):
             if request.verb is QueueVerb.SUBMIT:
-                raise InvalidInputError("the id of a job has 16 hexadecimal digits")
+                raise InvalidInputError("a job id must have 16 hexadecimal digits")
             raise JobNotFoundError(f"no job has the id {job_id[:40]!r}")
         if request.verb is QueueVerb.STATE:
             context.message = GetStepJob(job_id)
         elif request.verb is QueueVerb.CANCEL:
             context.message = CancelStepJob(job_id)
         else:
-            context.message = self._submission(context, request, queue)
+            context.message = self._make_submission(context, request, queue)
         return await proceed(context)
 
-    def _submission(
+    def _make_submission(
         self, context: RequestContext, request: QueueRequest, queue: Queue
     ) -> SubmitStepJob:
         if request.job is None:
-            raise InvalidInputError("a job is missing")
+            raise InvalidInputError("the request contains no job")
         job = attrs.evolve(
             request.job,
             job_id=context.request_id,
@@ -159,10 +159,10 @@
 
 @QUEUE_FILTERS.register("hand_over")
 class ForwardFilter(QueueFilter):
-    """The last filter: hands the message to the leader."""
+    """The last filter: forwards the message to the leader."""
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Return the leader's answer.
+        """Return the leader's reply.
 
         Raises:
             ForbiddenError: If the job belongs to another team.
@@ -177,13 +177,15 @@
         return answer
 
 
-def _request(context: RequestContext) -> QueueRequest:
+def _request_of(context: RequestContext) -> QueueRequest:
     if not isinstance(context.message, QueueRequest):
-        raise ProtocolError("a queue filter got another message")
+        raise ProtocolError(
+            "a queue filter received a message that is no queue request"
+        )
     return context.message
 
 
-def _queue(context: RequestContext) -> Queue:
+def _queue_of(context: RequestContext) -> Queue:
     if context.queue is None:
-        raise ProtocolError("the queue has not been found yet")
+        raise ProtocolError("the filter find_queue has not run yet")
     return context.queue
--- a/marjoramgrade/filters/requests.py
+++ b/marjoramgrade/filters/requests.py
@@ -1,4 +1,4 @@
-"""Filters that check the form and the time of a request."""
+"""Filters that check the id, deadline, uniqueness and number of requests."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
 from marjoramgrade.filters.context import RequestContext
 from marjoramgrade.messages.requests import RunRequest
 
-# The owner refuses at the deadline; its "not run" needs this long to come back.
+# The owner of a shard refuses a request at its deadline; this is the time that its
+# "not run" reply needs to arrive here.
 REPLY_GRACE_MS = 1_500
 _REQUEST_ID = re.compile(r"[A-Za-z0-9_.:-]{1,128}")
 
 
 @FILTERS.register("identify")
 class RequestIdFilter(Filter):
-    """Checks that a request carries a usable id."""
+    """Checks that the id of a request is valid."""
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> RequestIdFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls()
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Refuse ids that could not be kept or compared."""
+        """Refuse ids that cannot be stored and compared."""
         if not _REQUEST_ID.fullmatch(context.request_id):
             raise InvalidInputError(
                 "Request-Id must be 1 to 128 letters, digits or any of _.:-"
@@ -43,10 +44,10 @@
 
 @FILTERS.register("deadline")
 class DeadlineFilter(Filter):
-    """Answers no later than shortly after the deadline.
+    """Ends a request at most `REPLY_GRACE_MS` after its deadline.
 
     Args:
-        clock: Monotonic time.
+        clock: Monotonic clock.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -54,11 +55,11 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> DeadlineFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls(environment.clock)
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Refuse late requests and stop waiting for late replies."""
+        """Refuse requests past their deadline and stop waiting for late replies."""
         remaining_ms = context.deadline_ms - self._clock.now_ms()
         if remaining_ms <= 0:
             raise DeadlineExceededError("the deadline has passed")
@@ -72,10 +73,10 @@
 
 @FILTERS.register("deduplicate")
 class DeduplicateFilter(Filter):
-    """Refuses a non-idempotent request whose id is in flight here.
+    """Refuses a non-idempotent request whose id is in flight at this instance.
 
-    The durable check is made by the owner of the shard just before it runs; this
-    one only answers sooner.
+    The owner of the shard makes the durable check just before the request runs;
+    this filter only refuses duplicates earlier.
     """
 
     def __init__(self) -> None:
@@ -83,17 +84,19 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> DeduplicateFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls()
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Let one copy of a non-idempotent request proceed at a time."""
+        """Refuse a duplicate of a non-idempotent request that is in flight."""
         message = context.message
         if not isinstance(message, RunRequest) or message.idempotent:
             return await proceed(context)
         identity = (context.principal.team, context.request_id)
         if identity in self._in_flight:
-            raise DuplicateRequestError(f"request {context.request_id} is running")
+            raise DuplicateRequestError(
+                f"request {context.request_id} is already in flight"
+            )
         self._in_flight.add(identity)
         try:
             return await proceed(context)
@@ -103,28 +106,28 @@
 
 @FILTERS.register("admit")
 class AdmitFilter(Filter):
-    """Bounds the requests that one team has in flight at this instance.
+    """Bounds the number of requests that one team has in flight at this instance.
 
     Args:
-        bound: Requests of one team at once.
+        max_in_flight: Maximum number of requests in flight for each team.
     """
 
-    def __init__(self, bound: int) -> None:
-        self._bound = bound
+    def __init__(self, max_in_flight: int) -> None:
+        self._max_in_flight = max_in_flight
         self._count_by_team: dict[str, int] = {}
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> AdmitFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls(environment.settings.max_queued_requests)
 
     async def apply(self, context: RequestContext, proceed: Proceed) -> Any:
-        """Refuse requests over the bound, so that one team cannot fill the queue."""
+        """Refuse excess requests, so that one team cannot fill the queue."""
         if not isinstance(context.message, RunRequest):
             return await proceed(context)
         team = context.principal.team
         count = self._count_by_team.get(team, 0)
-        if count >= self._bound:
+        if count >= self._max_in_flight:
             raise OverloadedError(f"team {team} has {count} requests in flight")
         self._count_by_team[team] = count + 1
         try:
--- a/marjoramgrade/filters/route.py
+++ b/marjoramgrade/filters/route.py
@@ -1,4 +1,4 @@
-"""The last filter: hands each message to the controller that answers it."""
+"""The last filter: sends each message to the controller that handles its type."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @FILTERS.register("route")
 class RouteFilter(Filter):
-    """Asks the controller of the message's type.
+    """Asks the controller that is registered for the type of the message.
 
     Args:
-        controller_by_type: Which controller answers which message.
+        controller_by_type: The controller that handles each message type.
     """
 
     def __init__(self, controller_by_type: dict[type[Message[Any]], Actor]) -> None:
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_config(cls, environment: FilterEnvironment) -> RouteFilter:
-        """Return the filter."""
+        """Build the filter from its environment."""
         return cls(
             {
                 RunRequest: environment.routes,
@@ -51,5 +51,7 @@
         """Return the controller's reply."""
         controller = self._controller_by_type.get(type(context.message))
         if controller is None:
-            raise ProtocolError(f"nothing answers {type(context.message).__name__}")
+            raise ProtocolError(
+                f"no controller handles {type(context.message).__name__}"
+            )
         return await controller.ask(context.message)
--- a/tests/test_filters_queues.py
+++ b/tests/test_filters_queues.py
@@ -1,4 +1,4 @@
-"""The filters that calls to queues pass."""
+"""Tests of the filters for requests to queues."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class FakeDirectory(Actor):
-    """Has the configuration at once, later or never."""
+    """Returns the configuration immediately, after a wait or never."""
 
     def __init__(self, config, later_config=None):
         super().__init__()
@@ -54,13 +54,13 @@
     @handles(AwaitStepConfig)
     async def _await(self, message: AwaitStepConfig) -> StepConfig:
         if self.later_config is None:
-            raise StaleAuthorityError("not here yet")
+            raise StaleAuthorityError("the configuration has not arrived yet")
         self.config = self.later_config
         return self.config
 
 
 class FakeForwarder(Actor):
-    """Returns what was handed over."""
+    """Returns the forwarded request as the reply."""
 
     @handles(ForwardRequest)
     async def _forward(self, message: ForwardRequest) -> object:
@@ -68,7 +68,7 @@
 
 
 @contextlib.asynccontextmanager
-async def chain_to(directory):
+async def running_chain(directory):
     forwarder = FakeForwarder()
     environment = QueueFilterEnvironment(
         ManualClock(), MemoryMetrics(), directory, forwarder
@@ -84,28 +84,28 @@
         yield FilterChain(filters, MemoryMetrics())
 
 
-async def ask(chain, path, host=URGENT.host):
+async def request_state(chain, path, host=URGENT.host):
     request = QueueRequest(QueueVerb.STATE, host, path, None)
     return await chain.handle(RequestContext(request, "", "", 1_000))
 
 
 def run(directory, path, host=URGENT.host):
-    async def work():
-        async with chain_to(directory) as chain:
-            return await ask(chain, path, host)
+    async def send():
+        async with running_chain(directory) as chain:
+            return await request_state(chain, path, host)
 
-    return asyncio.run(work())
+    return asyncio.run(send())
 
 
 def test_caller_of_an_instance_that_has_just_started_waits_for_the_configuration():
-    # Guards against refusing, for a second, callers that come within 50 ms of a restart
-    # (kbwb-arrears-grown trouble-1, 43.5 s).
+    # Guards against refusing, for a second, clients whose requests arrive within 50 ms
+    # of a restart (scenario kbwb-arrears-grown trouble-1, 43.5 s).
     with pytest.raises(UnauthenticatedError):
         run(FakeDirectory(StepConfig(), CONFIG), URGENT.path_prefix + JOB_ID)
 
 
 def test_instance_without_a_configuration_refuses():
-    # Guards against a caller that is told that its queue does not exist.
+    # Guards against telling a client that its queue does not exist.
     with pytest.raises(StaleAuthorityError):
         run(FakeDirectory(StepConfig()), URGENT.path_prefix + JOB_ID)
 
@@ -117,10 +117,10 @@
 
 
 def test_public_queue_needs_no_key():
-    # Guards against refusing the callers of a public queue.
+    # Guards against refusing the clients of a public queue.
     public = attrs.evolve(URGENT, public=True)
     config = StepConfig(3, {public.name: public}, {}, {})
-    got = run(FakeDirectory(config), URGENT.path_prefix + JOB_ID)
-    assert got == GetStepJob(JOB_ID)
+    reply = run(FakeDirectory(config), URGENT.path_prefix + JOB_ID)
+    assert reply == GetStepJob(JOB_ID)
     with pytest.raises(JobNotFoundError):
         run(FakeDirectory(config), URGENT.path_prefix + "not-an-id")
