--- a/marjoramgrade/commands/operations.py
+++ b/marjoramgrade/commands/operations.py
@@ -1,4 +1,4 @@
-"""Commands for zones and keys, which wait until a change is in force."""
+"""Commands that change zones and keys and wait until the change is in force."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from marjoramgrade.transport import ServerUnreachableError
 
 app = typer.Typer()
-# The design page promises that a configuration is in force everywhere by then.
+# By the design page, a configuration is in force in every zone within this time.
 DEFAULT_WAIT_MS = 8_000
 MAX_WAIT_MS = 600_000
 POLL_INTERVAL_MS = 200
@@ -31,22 +31,22 @@
 
 
 async def read_confirmed_versions(client: Client) -> Mapping[str, int]:
-    """Return, for each zone, the configuration version that it confirmed last."""
+    """Return the configuration version that each zone confirmed last."""
     status = await client.status()
     config = status.get("config")
     by_zone = config.get("version_by_zone") if isinstance(config, dict) else None
     if not isinstance(by_zone, dict):
         return {}
-    return {z: v for z, v in by_zone.items() if type(v) is int}
+    return {zone: version for zone, version in by_zone.items() if type(version) is int}
 
 
 async def wait_in_force(
     session: Session, client: Client, version: int, wait_ms: int
 ) -> bool:
-    """Wait until every zone confirmed a version, and tell of each that does.
+    """Wait until every zone has confirmed a version; print each confirmation.
 
     Returns:
-        Whether every zone confirmed it in time.
+        Whether every zone confirmed the version in time.
     """
     clock = SystemClock()
     until_ms = clock.now_ms() + wait_ms
@@ -69,47 +69,49 @@
     return not waiting
 
 
-def _finish(session: Session, row: Mapping[str, object], in_force: bool) -> None:
+def _show_result(session: Session, row: Mapping[str, object], in_force: bool) -> None:
     session.show_rows("applied", [{**row, "in_force": in_force}])
     if not in_force:
         raise typer.Exit(ExitCode.UNKNOWN)
 
 
-def _move(session: Session, name: str, state: ZoneState, wait_ms: int) -> None:
-    async def work(client: Client) -> tuple[int, bool]:
-        # An unconditional change would create a zone from a misspelt name.
-        found = await client.get(ZONES, name)
-        version = found.version
-        if found.value.state is not state:
-            zone = attrs.evolve(found.value, state=state)
-            version = await client.put(ZONES, zone, found.version)
-        session.print_message(f"version {version} takes zone {name} {state.value}")
+def _set_zone_state(
+    session: Session, name: str, state: ZoneState, wait_ms: int
+) -> None:
+    async def set_state(client: Client) -> tuple[int, bool]:
+        # An unconditional change of a misspelt name would create a zone.
+        current = await client.get(ZONES, name)
+        version = current.version
+        if current.value.state is not state:
+            zone = attrs.evolve(current.value, state=state)
+            version = await client.put(ZONES, zone, current.version)
+        session.print_message(f"version {version} sets zone {name} to {state.value}")
         return version, await wait_in_force(session, client, version, wait_ms)
 
-    version, in_force = session.run(work)
+    version, in_force = session.run(set_state)
     row = {"kind": "zones", "name": name, "result": state.value, "version": version}
-    _finish(session, row, in_force)
+    _show_result(session, row, in_force)
 
 
 @app.command("zone-out")
 def zone_out(
     context: typer.Context, name: str, wait_ms: WaitOption = DEFAULT_WAIT_MS
 ) -> None:
-    """Take a zone out: nothing starts there any more."""
-    _move(session_of(context), name, ZoneState.OUT, wait_ms)
+    """Take a zone out of service: nothing new starts in it."""
+    _set_zone_state(session_of(context), name, ZoneState.OUT, wait_ms)
 
 
 @app.command("zone-in")
 def zone_in(
     context: typer.Context, name: str, wait_ms: WaitOption = DEFAULT_WAIT_MS
 ) -> None:
-    """Take a zone back in."""
-    _move(session_of(context), name, ZoneState.IN, wait_ms)
+    """Return a zone to service."""
+    _set_zone_state(session_of(context), name, ZoneState.IN, wait_ms)
 
 
 @app.command("grant-key")
 def grant_key(context: typer.Context, name: str, team: str) -> None:
-    """Create a key for a team and show its secret, which is not kept."""
+    """Create a key for a team and show its secret, which is not stored."""
     session = session_of(context)
     secret = session.run(lambda client: client.grant_key(name, team))
     if session.output == "json":
@@ -125,10 +127,10 @@
     """Delete a key and wait until no zone accepts it."""
     session = session_of(context)
 
-    async def work(client: Client) -> tuple[int, bool]:
+    async def delete_key(client: Client) -> tuple[int, bool]:
         version = await client.delete(KEYS, name)
         return version, await wait_in_force(session, client, version, wait_ms)
 
-    version, in_force = session.run(work)
+    version, in_force = session.run(delete_key)
     row = {"kind": "keys", "name": name, "result": "withdrawn", "version": version}
-    _finish(session, row, in_force)
+    _show_result(session, row, in_force)
--- a/marjoramgrade/commands/output.py
+++ b/marjoramgrade/commands/output.py
@@ -1,4 +1,4 @@
-"""How results are shown: tables for people, JSON for programs."""
+"""Output formats of results: tables for people, JSON for programs."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 @attrs.frozen
 class View:
-    """A result that can be shown in each form.
+    """A result that every output format can show.
 
     Attributes:
-        document: The result for programs.
-        kind: What the rows are, a name in `COLUMNS_BY_KIND`.
-        rows: The result as documents, one for each row.
+        document: The result as a JSON value, for programs.
+        kind: Type of the rows, a key of `COLUMNS_BY_KIND`.
+        rows: One document for each row of the table.
     """
 
     document: Any
@@ -52,7 +52,7 @@
     rows: Sequence[Document]
 
 
-OUTPUT_FORMATS: Registry[Callable[[View], str]] = Registry("output form")
+OUTPUT_FORMATS: Registry[Callable[[View], str]] = Registry("output format")
 
 
 @OUTPUT_FORMATS.register("json")
@@ -63,9 +63,11 @@
 
 @OUTPUT_FORMATS.register("table")
 def format_table(view: View) -> str:
-    """Return a result as a table with a line of column names."""
+    """Return a result as a table with a header line."""
     columns = COLUMNS_BY_KIND[view.kind]
-    cells = [[_cell(row.get(column, "")) for column in columns] for row in view.rows]
+    cells = [
+        [_format_cell(row.get(column, "")) for column in columns] for row in view.rows
+    ]
     return "\n".join(align_columns([[c.upper() for c in columns], *cells]))
 
 
@@ -77,7 +79,7 @@
         yield "  ".join(padded).rstrip()
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, dict):
         shown = " ".join(f"{key}={part}" for key, part in value.items()) or "none"
     elif isinstance(value, bool):
@@ -88,13 +90,13 @@
 
 
 def sanitize_text(text: str, limit: int) -> str:
-    """Return text that cannot control a terminal, cut to a length."""
+    """Return text that cannot control a terminal, truncated to `limit` characters."""
     plain = "".join(c if c.isprintable() else "?" for c in text[: limit + 1])
     return plain if len(plain) <= limit else plain[: limit - 1] + "…"
 
 
 def job_row(job: Document) -> Document:
-    """Return what a table shows of a job document."""
+    """Return a job document with the columns that a table shows."""
     outcomes = str(job.get("outcomes", ""))
     spec = job.get("spec", {})
     ended = len(outcomes) - outcomes.count(".")
--- a/marjoramgrade/commands/resources.py
+++ b/marjoramgrade/commands/resources.py
@@ -28,11 +28,11 @@
 from marjoramgrade.watchclient import WatchEvent, WatchResetError
 
 app = typer.Typer()
-# Teams come first, because services and keys name them.
+# Teams come first, because services and keys refer to them.
 APPLY_ORDER = (TEAMS, ZONES, SERVICES)
 
 Reader = Callable[[Client, str], Awaitable[View]]
-READERS: Registry[Reader] = Registry("kind of resource")
+READERS: Registry[Reader] = Registry("resource kind")
 
 
 async def _read_configured(kind: ResourceKind[Any], client: Client, name: str) -> View:
@@ -69,28 +69,28 @@
 @READERS.register("tasks")
 async def _read_tasks(client: Client, name: str) -> View:
     if not name:
-        raise InvalidInputError("name the job whose tasks are wanted")
-    return _view_of("tasks", await client.list_tasks(name))
+        raise InvalidInputError("tasks can be listed only for a named job")
+    return _make_view("tasks", await client.list_tasks(name))
 
 
 @READERS.register("workers")
 async def _read_workers(client: Client, name: str) -> View:
-    return _pick("workers", name, await client.list_workers())
+    return _select("workers", name, await client.list_workers())
 
 
 @READERS.register("backends")
 async def _read_backends(client: Client, name: str) -> View:
-    return _pick("backends", name, await client.list_backends())
+    return _select("backends", name, await client.list_backends())
 
 
-def _pick(kind: str, name: str, rows: tuple[Document, ...]) -> View:
+def _select(kind: str, name: str, rows: tuple[Document, ...]) -> View:
     found = tuple(row for row in rows if not name or row.get("instance_id") == name)
     if name and not found:
-        raise NotFoundError(f"{kind} has no {name!r}")
-    return _view_of(kind, found)
+        raise NotFoundError(f"no entry of {kind} has the id {name!r}")
+    return _make_view(kind, found)
 
 
-def _view_of(kind: str, rows: tuple[Document, ...]) -> View:
+def _make_view(kind: str, rows: tuple[Document, ...]) -> View:
     return View({"items": list(rows)}, kind, rows)
 
 
@@ -98,7 +98,9 @@
 def get(
     context: typer.Context,
     kind: Annotated[str, typer.Argument(help=", ".join(READERS.iter_names()))],
-    name: Annotated[str, typer.Argument(help="One resource; all if left out.")] = "",
+    name: Annotated[
+        str, typer.Argument(help="Name of one resource; all if omitted.")
+    ] = "",
 ) -> None:
     """Show resources."""
     session = session_of(context)
@@ -113,7 +115,7 @@
     kind: Annotated[str, typer.Argument(help=", ".join(RESOURCE_KINDS.iter_names()))],
     name: str,
     if_version: Annotated[
-        int | None, typer.Option(min=1, help="Only if it has this version.")
+        int | None, typer.Option(min=1, help="Delete only if it has this version.")
     ] = None,
 ) -> None:
     """Delete a resource."""
@@ -127,23 +129,23 @@
 
 @attrs.frozen
 class Plan:
-    """The resources of a file, checked, in the order in which they apply."""
+    """The validated resources of a file, in the order of their application."""
 
     resources: tuple[tuple[ResourceKind[Any], Any], ...]
 
 
 def parse_plan(document: object) -> Plan:
-    """Return the resources of a file, whole or not at all.
+    """Return the resources of a file; one invalid resource rejects the file.
 
     Raises:
-        InvalidInputError: With the path and the reason of the first fault.
+        InvalidInputError: With the path and the reason of the first error.
     """
     if type(document) is not dict:
-        raise InvalidInputError("a file of resources must be an object")
+        raise InvalidInputError("a resource file must be an object")
     known = [kind.plural for kind in APPLY_ORDER]
-    for extra in sorted(document.keys() - set(known)):
-        hint = "; use grant-key" if extra == KEYS.plural else ""
-        raise InvalidInputError(f"{extra} is not one of {', '.join(known)}{hint}")
+    for unknown in sorted(document.keys() - set(known)):
+        hint = "; use grant-key" if unknown == KEYS.plural else ""
+        raise InvalidInputError(f"{unknown} is not one of {', '.join(known)}{hint}")
     return Plan(tuple(pair for kind in APPLY_ORDER for pair in _parse(kind, document)))
 
 
@@ -153,33 +155,33 @@
     entries = document.get(kind.plural, [])
     if type(entries) is not list:
         raise InvalidInputError(f"{kind.plural} must be a list")
-    found = []
+    resources = []
     for index, entry in enumerate(entries):
         try:
-            found.append((kind, kind.parse(entry)))
+            resources.append((kind, kind.parse(entry)))
         except InvalidInputError as error:
-            where = f"{kind.plural}[{index}]"
-            raise InvalidInputError(f"{where}: {error.message}") from None
-    return found
+            path = f"{kind.plural}[{index}]"
+            raise InvalidInputError(f"{path}: {error.message}") from None
+    return resources
 
 
 async def apply_resource(
-    client: Client, kind: ResourceKind[Any], wanted: Any
+    client: Client, kind: ResourceKind[Any], desired: Any
 ) -> dict[str, Any]:
-    """Make one resource as wanted, and return a row about what was done.
+    """Create or change one resource as needed and return a row with the result.
 
     Raises:
-        ConflictError: If somebody else changes it at the same time.
+        ConflictError: If the resource is changed concurrently.
     """
-    row = {"kind": kind.plural, "name": wanted.name}
+    row = {"kind": kind.plural, "name": desired.name}
     try:
-        found = await client.get(kind, wanted.name)
+        current = await client.get(kind, desired.name)
     except NotFoundError:
-        version = await client.put(kind, wanted, 0)
+        version = await client.put(kind, desired, 0)
         return {**row, "result": "created", "version": version}
-    if found.value == wanted:
-        return {**row, "result": "unchanged", "version": found.version}
-    version = await client.put(kind, wanted, found.version)
+    if current.value == desired:
+        return {**row, "result": "unchanged", "version": current.version}
+    version = await client.put(kind, desired, current.version)
     return {**row, "result": "changed", "version": version}
 
 
@@ -194,14 +196,14 @@
         plan = parse_plan(read_document(file))
     rows: list[dict[str, Any]] = []
 
-    async def work(client: Client) -> None:
-        for kind, wanted in plan.resources:
-            rows.append(await apply_resource(client, kind, wanted))
+    async def apply_plan(client: Client) -> None:
+        for kind, desired in plan.resources:
+            rows.append(await apply_resource(client, kind, desired))
 
     try:
-        session.run(work)
+        session.run(apply_plan)
     finally:
-        # After a failure this tells which changes had been made before it.
+        # After a failure the rows show which changes were made before it.
         session.show_rows("applied", rows)
 
 
@@ -238,7 +240,7 @@
 
 
 def show_event(session: Session, event: WatchEvent) -> None:
-    """Write one change as one line."""
+    """Print a change as one line."""
     if session.output == "json":
         typer.echo(jsontext.serialize_text(attrs.asdict(event, recurse=False)))
         return
--- a/marjoramgrade/commands/session.py
+++ b/marjoramgrade/commands/session.py
@@ -1,4 +1,4 @@
-"""What every command shares: the connection, the output and the exit codes."""
+"""Connection, output and exit codes that all commands share."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit status says to programs; `docs/cli.md` lists them."""
+    """Exit statuses of the command line; `docs/cli.md` lists them."""
 
     OK = 0
     FAILED = 1
@@ -42,7 +42,11 @@
 
 
 def exit_code_of(error: errors.MarjoramgradeError) -> ExitCode:
-    """Return the exit code of an error: unknown first, then its nearest type."""
+    """Return the exit code of an error.
+
+    It is `UNKNOWN` if it is not known whether the work ran; otherwise the nearest
+    listed base class of the error decides.
+    """
     if error.ran is errors.Ran.UNKNOWN:
         return ExitCode.UNKNOWN
     nearest = next(kind for kind in type(error).__mro__ if kind in _EXIT_CODE_BY_TYPE)
@@ -51,28 +55,28 @@
 
 @attrs.frozen
 class Session:
-    """The options that come before the command.
+    """The options that all commands share, given before the command.
 
     Attributes:
-        url: Where the entry instance or the load balancer listens.
-        secret: Secret of the caller's key, or empty.
-        output: Name of the output form.
+        url: URL of the entry instance or the load balancer.
+        secret: Secret of the client's key, or empty.
+        output: Name of the output format.
     """
 
     url: str
     secret: str
     output: str
 
-    def run(self, work: Callable[[Client], Awaitable[R]]) -> R:
-        """Run work with a client; a failure ends the process with its code."""
+    def run(self, operation: Callable[[Client], Awaitable[R]]) -> R:
+        """Run an operation with a client; exit with the code of an error."""
 
-        async def connected() -> R:
+        async def connect_and_run() -> R:
             async with Client.from_url(self.url, self.secret) as client:
-                return await work(client)
+                return await operation(client)
 
         with self.exit_on_error():
             try:
-                return asyncio.run(connected())
+                return asyncio.run(connect_and_run())
             except KeyboardInterrupt:
                 raise typer.Exit(ExitCode.OK) from None
 
@@ -81,16 +85,16 @@
         typer.echo(OUTPUT_FORMATS.get(self.output)(view))
 
     def show_rows(self, kind: str, rows: list[dict[str, Any]]) -> None:
-        """Write documents that are their own rows."""
+        """Write documents, each of which is also a row of the table."""
         self.show(View(rows, kind, rows))
 
     def print_message(self, text: str) -> None:
-        """Tell a person about progress, on the error stream."""
+        """Write a message for people to the standard error."""
         typer.echo(sanitize_text(text, MAX_MESSAGE_LENGTH), err=True)
 
     @contextmanager
     def exit_on_error(self) -> Iterator[None]:
-        """Turn typed errors into a message and an exit code."""
+        """Report a typed error and exit with its code."""
         try:
             yield
         except errors.MarjoramgradeError as error:
@@ -98,7 +102,7 @@
             raise typer.Exit(exit_code_of(error)) from None
 
     def report(self, error: errors.MarjoramgradeError) -> None:
-        """Write an error to the error stream."""
+        """Write an error to the standard error."""
         if self.output == "json":
             report = {
                 "code": error.code,
@@ -114,7 +118,7 @@
 
 
 def session_of(context: typer.Context) -> Session:
-    """Return the session that the main callback made."""
+    """Return the session that the main callback created."""
     session = context.obj
     assert isinstance(session, Session)
     return session
@@ -124,7 +128,7 @@
     """Return the content of a file, or of the standard input for `-`.
 
     Raises:
-        InvalidInputError: If it cannot be read or is too large.
+        InvalidInputError: If the input cannot be read or is too large.
     """
     try:
         if str(path) == "-":
@@ -135,7 +139,9 @@
     except OSError as error:
         raise errors.InvalidInputError(f"{path}: {error.strerror}") from None
     if len(data) > MAX_INPUT_BYTES:
-        raise errors.OversizedInputError(f"{path} is larger than {MAX_INPUT_BYTES}")
+        raise errors.OversizedInputError(
+            f"{path} is larger than {MAX_INPUT_BYTES} bytes"
+        )
     return data
 
 
--- a/marjoramgrade/commands/work.py
+++ b/marjoramgrade/commands/work.py
@@ -27,7 +27,7 @@
 MAX_WAIT_MS = 24 * 3_600_000
 
 
-def _show(session: Session, job: Job) -> None:
+def _show_job(session: Session, job: Job) -> None:
     document = documents.serialize_job(job)
     session.show(View(document, "jobs", [job_row(document)]))
 
@@ -38,9 +38,9 @@
     file: Annotated[
         pathlib.Path, typer.Argument(help="A job spec in JSON, or - for stdin.")
     ],
-    job_id: Annotated[str, typer.Option(help="Unique id; a new one if empty.")] = "",
+    job_id: Annotated[str, typer.Option(help="Unique id; generated if empty.")] = "",
     wait_ms: Annotated[
-        int, typer.Option(min=0, max=MAX_WAIT_MS, help="How long to wait for its end.")
+        int, typer.Option(min=0, max=MAX_WAIT_MS, help="How long to wait for the job.")
     ] = 0,
 ) -> None:
     """Submit a job."""
@@ -48,7 +48,7 @@
     with session.exit_on_error():
         spec = documents.parse_job_spec(read_document(file))
 
-    async def work(client: Client) -> Job:
+    async def submit_and_wait(client: Client) -> Job:
         clock = SystemClock()
         job = await client.submit(spec, job_id)
         until_ms = clock.now_ms() + wait_ms
@@ -57,8 +57,8 @@
             job = await client.get_job(job.job_id)
         return job
 
-    job = session.run(work)
-    _show(session, job)
+    job = session.run(submit_and_wait)
+    _show_job(session, job)
     if job.state in (JobState.FAILED, JobState.CANCELLED):
         raise typer.Exit(ExitCode.FAILED)
     if wait_ms and job.state is JobState.OPEN:
@@ -67,9 +67,9 @@
 
 @app.command()
 def cancel(context: typer.Context, job_id: str) -> None:
-    """Cancel a job; tasks that have ended stay as they are."""
+    """Cancel a job; tasks that have ended do not change."""
     session = session_of(context)
-    _show(session, session.run(lambda client: client.cancel_job(job_id)))
+    _show_job(session, session.run(lambda client: client.cancel_job(job_id)))
 
 
 @app.command()
@@ -77,17 +77,19 @@
     context: typer.Context,
     service: str,
     body: Annotated[
-        pathlib.Path, typer.Option(help="File with the request; - for stdin.")
+        pathlib.Path, typer.Option(help="File with the request body; - for stdin.")
     ] = pathlib.Path("-"),
     idempotent: Annotated[
         bool, typer.Option(help="The request may run more than once.")
     ] = False,
-    request_id: Annotated[str, typer.Option(help="Unique id; new if empty.")] = "",
+    request_id: Annotated[
+        str, typer.Option(help="Unique id; generated if empty.")
+    ] = "",
     deadline_ms: Annotated[
-        int, typer.Option(min=1, max=MAX_DEADLINE_MS, help="Time for the answer.")
+        int, typer.Option(min=1, max=MAX_DEADLINE_MS, help="Time for the response.")
     ] = DEFAULT_DEADLINE_MS,
 ) -> None:
-    """Run a request on a service and write the answer as it came."""
+    """Run a request on a service and write the response unchanged."""
     session = session_of(context)
     with session.exit_on_error():
         data = read_input(body)
