--- a/marjoramgrade/decisions/fencing.py
+++ b/marjoramgrade/decisions/fencing.py
@@ -32,7 +32,7 @@
     """A worker's lease on running tasks, extended by answered heartbeats.
 
     The lease is measured from the time at which a heartbeat was sent, not from the
-    arrival of its answer, so an answer delayed in a buffer does not extend it.
+    arrival of its response, so a response delayed in a buffer does not extend it.
 
     Attributes:
         until_ms: Time on the worker's clock at which the lease expires.
@@ -46,12 +46,12 @@
         """Record a heartbeat that is sent now and return its sequence number."""
         self._last_seq += 1
         self._sent_ms_by_seq[self._last_seq] = now_ms
-        # An answer to an older heartbeat could no longer extend the lease.
+        # A response to an older heartbeat could no longer extend the lease.
         self._sent_ms_by_seq.pop(self._last_seq - MAX_UNANSWERED_HEARTBEATS, None)
         return self._last_seq
 
     def record_grant(self, seq: int, lease_ms: int) -> None:
-        """Extend the lease by the owner's answer to a heartbeat.
+        """Extend the lease by the owner's response to a heartbeat.
 
         Args:
             seq: Number of the answered heartbeat; unknown numbers are ignored.
@@ -61,8 +61,8 @@
         if sent_ms is None:
             return
         self.until_ms = max(self.until_ms, sent_ms + lease_ms)
-        for answered in [number for number in self._sent_ms_by_seq if number <= seq]:
-            del self._sent_ms_by_seq[answered]
+        for answered_seq in [sent for sent in self._sent_ms_by_seq if sent <= seq]:
+            del self._sent_ms_by_seq[answered_seq]
 
     def holds(self, now_ms: int) -> bool:
         """Return whether tasks may run now."""
--- a/marjoramgrade/decisions/grants.py
+++ b/marjoramgrade/decisions/grants.py
@@ -148,17 +148,17 @@
 def with_limit(row: GrantsRow, limit: Resources) -> GrantsRow:
     """Return the row after operators changed the limit.
 
-    Where the sum of the amounts exceeds the new limit, they shrink proportionally.
+    Where the sum of the amounts exceeds the new limit, all shrink in proportion.
     A resource that had no limit before is divided evenly.
     """
     shards = sorted(row.amount_by_shard)
     amounts = {shard: row.amount(shard) for shard in shards}
     if shards:
-        even = limit.scaled(1, len(shards))
+        even_part = limit.scaled(1, len(shards))
         total = _total(amounts.values())
         for shard in shards:
             shrunk = _shrink(amounts[shard], limit, total)
-            amounts[shard] = _choose(row.limit, shrunk, even)
+            amounts[shard] = _choose(row.limit, shrunk, even_part)
     unconfirmed = {}
     for shard in shards:
         previous = _choose(row.limit, row.held(shard), bounds_of(ZERO_RESOURCES))
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -1,4 +1,4 @@
-"""A shard's grants, its parts of the upper limits of teams."""
+"""A shard's grants: its parts of the upper limits of teams."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         shard: combine(min, wanted, unused).dominant_share(wanted)
         for shard, unused in sorted(unused_by_shard.items())
     }
-    best = max(part_by_shard, key=lambda shard: part_by_shard[shard], default=None)
-    return best if best is not None and part_by_shard[best] > 0 else None
+    donor = max(part_by_shard, key=lambda shard: part_by_shard[shard], default=None)
+    return donor if donor is not None and part_by_shard[donor] > 0 else None
 
 
 @attrs.define
@@ -186,7 +186,12 @@
         return self.wanted(team, ZERO_RESOURCES)
 
     def begin_claim(self, team: str) -> GrantsRow | None:
-        """Return the row that claims the grant for this owner, or None."""
+        """Return the row that claims the grant for this owner.
+
+        Returns:
+            The row, or None if no row was observed, the grant is already claimed or
+            another write of the row is pending.
+        """
         grant = self._writable_grant(team)
         if grant is None or self._is_claimed(grant):
             return None
@@ -208,14 +213,14 @@
         return None if row == grant.row else self._mark_pending(grant, row)
 
     def begin_return(self, team: str, amount: Resources) -> GrantsRow | None:
-        """Subtract an unused part of the grant and return the row that returns it.
+        """Stop using a part of the grant and return the row to write to give it back.
 
         Must not be called before a takeover is reconciled: tasks on workers that
         have not reported yet use the grant too.
 
         Returns:
             The row, or None if nothing is unused, the grant is not claimed or
-            another write is pending.
+            another write of the row is pending.
         """
         grant = self._writable_grant(team)
         if grant is None or not self._is_claimed(grant):
@@ -229,13 +234,14 @@
         return self._mark_pending(grant, row)
 
     def begin_confirm(self, team: str) -> GrantsRow | None:
-        """Return the row that confirms a lowered amount, or None.
+        """Return the row to write to confirm a lowered amount.
 
         Must not be called before a takeover is reconciled.
 
         Returns:
             The row, or None if no confirmation is required, running tasks exceed
-            the amount, the grant is not claimed or another write is pending.
+            the amount, the grant is not claimed or another write of the row is
+            pending.
         """
         grant = self._writable_grant(team)
         if grant is None or not self._is_claimed(grant):
--- a/marjoramgrade/decisions/promises.py
+++ b/marjoramgrade/decisions/promises.py
@@ -22,7 +22,15 @@
 
 
 class Refusal(enum.Enum):
-    """Reason for which an instance refuses a promise."""
+    """Reason for which an instance refuses a promise.
+
+    Attributes:
+        TABLE_REACHED: The instance's last access to the table succeeded.
+        WRITE_IN_FLIGHT: The outcome of one of its writes is unknown.
+        UNLISTED_MEMBER: The request does not list a joining member that the
+            instance acknowledged.
+        NOT_READ: This process has not read the configuration.
+    """
 
     TABLE_REACHED = "table_reached"
     WRITE_IN_FLIGHT = "write_in_flight"
@@ -128,6 +136,10 @@
         Must be called immediately before the write is sent, without an `await`
         in between.
 
+        Args:
+            write_id: Id under which `end_write` reports the outcome.
+            now_ms: The current time.
+
         Returns:
             Whether the write may be sent; False while a promise is in force.
         """
@@ -239,7 +251,10 @@
             self._promise_by_peer[peer] = promise
 
     def until_ms(self, now_ms: int) -> int:
-        """Return when the authority given by the promises expires, or zero.
+        """Return when the authority to act without the table expires, or zero.
+
+        It expires with the promise that expires first, and there is none while a
+        promise is missing.
 
         If the fleet has only one member, that member needs no promise, since a
         joining member must first be acknowledged by it. A shard owner without
--- a/marjoramgrade/decisions/retention.py
+++ b/marjoramgrade/decisions/retention.py
@@ -39,7 +39,8 @@
         Args:
             job: The ended job.
             version: Version of the job's row.
-            is_own_shard: Whether instances of this zone delete the row.
+            is_own_shard: Whether the job's shard belongs to this zone, whose instances
+                delete its row.
             now_ms: The current time.
         """
         ended = _EndedJob(job.job_id, version, now_ms)
--- a/marjoramgrade/decisions/retries.py
+++ b/marjoramgrade/decisions/retries.py
@@ -20,11 +20,11 @@
 # Limits the shift in `Backoff`; the longest delay is reached long before.
 MAX_DOUBLINGS = 16
 BUDGET_PERCENT = 10
-# Retries available independently of the number of requests, one more for each
-# interval up to this many, so that an instance with few requests has some.
+# Maximum number of retries available independently of the number of requests, so
+# that an instance with few requests has some. One more is earned per interval.
 BUDGET_FLOOR = 3
 FLOOR_INTERVAL_MS = 1_000
-# Maximum number of saved retries; more would let a burst double the load.
+# Maximum number of retries saved from requests; more would let a burst double the load.
 BUDGET_CEILING = 100
 # Starts of a task refused in a row before it fails; each is tried elsewhere.
 MAX_REFUSED_STARTS = 20
@@ -65,7 +65,7 @@
     max_attempts: int = MAX_REQUEST_ATTEMPTS
 
     def delay_ms(self, attempts: int) -> int | None:
-        """Return the pause; see `RetryPolicy.delay_ms`."""
+        """Return the delay; see `RetryPolicy.delay_ms`."""
         if attempts >= self.max_attempts:
             return None
         return min(self.longest_ms, self.first_ms << (attempts - 1))
@@ -84,7 +84,7 @@
     max_attempts: int = sys.maxsize
 
     def delay_ms(self, attempts: int) -> int | None:
-        """Return the pause; see `RetryPolicy.delay_ms`."""
+        """Return the delay; see `RetryPolicy.delay_ms`."""
         return super().delay_ms(min(attempts, MAX_DOUBLINGS))
 
 
@@ -102,12 +102,13 @@
 class RetryBudget:
     """Limits retries to a fraction of the requests, so that they cannot accumulate.
 
-    Retries earned by requests are counted in hundredths, to use integers only.
+    Retries earned by requests are counted in hundredths, to use integers only. When
+    none is left, a retry of the floor is used.
     """
 
     _hundredths: int = 0
-    _floor: int = BUDGET_FLOOR
-    _floor_ms: int = 0
+    _floor_retries: int = BUDGET_FLOOR
+    _floor_earned_ms: int = 0
 
     def record_request(self) -> None:
         """Record a first attempt, which earns a fraction of a retry."""
@@ -119,13 +120,13 @@
         if self._hundredths >= 100:
             self._hundredths -= 100
             return True
-        earned = (now_ms - self._floor_ms) // FLOOR_INTERVAL_MS
+        earned = (now_ms - self._floor_earned_ms) // FLOOR_INTERVAL_MS
         if earned > 0:
-            self._floor = min(BUDGET_FLOOR, self._floor + earned)
-            self._floor_ms = now_ms
-        if self._floor == 0:
+            self._floor_retries = min(BUDGET_FLOOR, self._floor_retries + earned)
+            self._floor_earned_ms = now_ms
+        if self._floor_retries == 0:
             return False
-        self._floor -= 1
+        self._floor_retries -= 1
         return True
 
 
--- a/marjoramgrade/decisions/sessions.py
+++ b/marjoramgrade/decisions/sessions.py
@@ -16,7 +16,8 @@
         worker_id: Id of the worker.
         is_connected: Whether the worker's inventory arrived on the open connection.
         lease_until_ms: Time on the owner's clock until which the worker's tasks
-            may run; zero before the first grant of this epoch and after a lapse.
+            may run; zero until the worker counts as leased in this epoch and after
+            a lapse.
     """
 
     worker_id: str
@@ -25,7 +26,7 @@
 
     @property
     def is_leased(self) -> bool:
-        """Whether a lease was granted and `pop_lapsed` has not found it lapsed."""
+        """Whether a lease may be in force and `pop_lapsed` has not found it lapsed."""
         return self.lease_until_ms > 0
 
 
@@ -78,7 +79,11 @@
 
     def connected_ids(self) -> list[str]:
         """Return the ids of workers that messages can be sent to."""
-        return [s.worker_id for s in self._session_by_id.values() if s.is_connected]
+        return [
+            session.worker_id
+            for session in self._session_by_id.values()
+            if session.is_connected
+        ]
 
     def remove(self, worker_id: str) -> None:
         """Remove the session of a worker that no longer exists."""
--- a/marjoramgrade/decisions/versions.py
+++ b/marjoramgrade/decisions/versions.py
@@ -176,14 +176,17 @@
 def _with_history(config: Config, change: Change) -> Config:
     bases = dict(config.base_version_by_path)
     bases[change.path] = config.version
-    present = {
+    present_paths = {
         f"{kind}.{name}"
         for kind in FIELD_BY_KIND
         for name in resources_of(config, kind)
     }
     deleted = sorted(
-        (path for path in bases if path not in present), key=lambda path: bases[path]
+        (path for path in bases if path not in present_paths),
+        key=lambda path: bases[path],
     )
+    # Once a deletion is no longer recorded, `_check_base` accepts a change to the
+    # missing resource only if its base version is zero or above the horizon.
     horizon = config.horizon_version
     for path in deleted[: max(0, len(deleted) - MAX_RECORDED_DELETIONS)]:
         horizon = max(horizon, bases.pop(path))
--- a/tests/test_grants.py
+++ b/tests/test_grants.py
@@ -19,7 +19,9 @@
 
 
 def row_of(limit: int, **amounts: int) -> GrantsRow:
-    return GrantsRow("t", cpus(limit), {k: cpus(v) for k, v in amounts.items()})
+    return GrantsRow(
+        "t", cpus(limit), {shard: cpus(part) for shard, part in amounts.items()}
+    )
 
 
 def test_a_shard_takes_no_more_than_is_unallocated() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -113,9 +113,10 @@
 
 
 class GrantMachine(RuleBasedStateMachine):
-    """Three shards that share one limit; transactions arrive late or unanswered.
+    """Three shards that share one limit, which operators change.
 
-    Tasks outlive the owner of their shard; operators change the limit.
+    Transactions may arrive late, and their responses may be lost. Tasks outlive the
+    owner of their shard.
     """
 
     grants_type = HeldGrants
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -130,8 +130,8 @@
     received.record("c", received.request(), PromiseReply(None, 8), 50)
     assert received.confirmed_from_ms(7, 200) is None
     assert received.confirmed_from_ms(8, 200) == 50
-    lease_on_config = FreshnessLease()
-    lease_on_config.confirm(50)
-    lease_on_config.confirm(20)
-    assert lease_on_config.holds(50 + FRESHNESS_MS - 1)
-    assert not lease_on_config.holds(50 + FRESHNESS_MS)
+    freshness_lease = FreshnessLease()
+    freshness_lease.confirm(50)
+    freshness_lease.confirm(20)
+    assert freshness_lease.holds(50 + FRESHNESS_MS - 1)
+    assert not freshness_lease.holds(50 + FRESHNESS_MS)
--- a/tests/test_promises_machine.py
+++ b/tests/test_promises_machine.py
@@ -37,7 +37,13 @@
 
 @attrs.define
 class Write:
-    """A write in flight to the table, where it may arrive at any time."""
+    """A write to the table that may arrive at any time.
+
+    Attributes:
+        name: The member that sent the write.
+        version: Version that the row or document must still have.
+        row: New shard row, or None for a change to the configuration.
+    """
 
     name: str
     version: int
@@ -185,11 +191,11 @@
         member = self.members[name]
         row = member.row
         if name != row.owner and member.watch.may_take_over(self.now_ms):
-            allowed = may_take_over_shard(
+            is_allowed = may_take_over_shard(
                 name, row, member.registered, member.acknowledged_by
             )
             taken = row.taken_over_by(name, tuple(self.registered))
-            if allowed:
+            if is_allowed:
                 member.zone.add_proposed_members(taken.guardians)
                 write = Write(name, member.watch.version, taken)
                 self.send(member, write, is_at_once)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,7 +44,7 @@
 def put_team(
     config: Config, name: str, base_version: int | None = None, share: int = 1
 ) -> Config:
-    """Apply a change of a team and return the document with the next version."""
+    """Apply a change to a team and return the document with the next version."""
     base = config.version if base_version is None else base_version
     change = Change("teams", name, Team(name, share), base, f"w{config.version}")
     return attrs.evolve(apply_change(config, change), version=config.version + 1)
@@ -159,7 +159,10 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Three instances change one document; answers are lost and copies lag."""
+    """Three instances change one document.
+
+    Responses of the table may be lost, and copies of the document may be outdated.
+    """
 
     apply = staticmethod(apply_change)
 
@@ -226,8 +229,8 @@
 
     @invariant()
     def accepted_changes_are_neither_lost_nor_repeated(self) -> None:
-        ids = [change.write_id for _, change in self.accepted]
-        assert len(ids) == len(set(ids))
+        write_ids = [change.write_id for _, change in self.accepted]
+        assert len(write_ids) == len(set(write_ids))
         team_by_name: dict[str, Team] = {}
         version_by_name: dict[str, int] = {}
         for version, change in self.accepted:
