--- a/marjoramgrade/messages/configuration.py
+++ b/marjoramgrade/messages/configuration.py
@@ -18,7 +18,7 @@
         config: The configuration.
         fresh_until_ms: Time on this instance's clock until which `config` is known to
             be current.
-        row_version: Commit number of the table's row.
+        row_version: Commit number of the row that stores the configuration.
         read_version: `config` includes every change up to this commit number.
     """
 
@@ -53,7 +53,13 @@
 
 @attrs.frozen
 class KeyGranted:
-    """A newly granted key; its secret is returned only here."""
+    """A newly granted key; its secret is returned only here.
+
+    Attributes:
+        key: The key, with the hash of its secret.
+        secret: The secret.
+        version: Version of the configuration that contains the key.
+    """
 
     key: Key
     secret: str
@@ -62,7 +68,13 @@
 
 @attrs.frozen
 class GrantKey(Message[KeyGranted]):
-    """Asks for a new key of a team."""
+    """Asks to create a key of a team.
+
+    Attributes:
+        key: The key, with the hash of its secret.
+        secret: The secret, for the reply.
+        expected_version: As in `ChangeConfig`.
+    """
 
     key: Key
     secret: str
@@ -71,6 +83,6 @@
 
 @attrs.frozen
 class ConfigPushed(Message[None]):
-    """Tells a peer that the table holds a newer configuration."""
+    """Tells a peer that the table holds the configuration of this version."""
 
     version: int
--- a/marjoramgrade/messages/jobs.py
+++ b/marjoramgrade/messages/jobs.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class SubmitJob(Message[StoredJob]):
-    """Accepts a job durably; resubmitting the same id and spec has no effect."""
+    """Asks to store a job; resubmitting the same id and spec has no effect."""
 
     job_id: str
     spec: JobSpec
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class WriteJob(Message[StoredJob]):
-    """Asks the journal to write a job row.
+    """Asks the record writer to write a job row.
 
     Attributes:
         job: The new content of the row.
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class RecordRequestId(Message[None]):
-    """Asks the journal to record the id of a non-idempotent request."""
+    """Asks the record writer to record the id of a non-idempotent request."""
 
     team: str
     request_id: str
@@ -105,7 +105,14 @@
 
 @attrs.frozen
 class TaskStatus:
-    """The state of one task, as shown to operators."""
+    """The state of one task, as shown to operators.
+
+    Attributes:
+        task: The task.
+        state: Name of the state.
+        reason: Why the task is in this state.
+        worker_id: The worker that runs the task, or empty.
+    """
 
     task: TaskId
     state: str
--- a/marjoramgrade/messages/peers.py
+++ b/marjoramgrade/messages/peers.py
@@ -20,7 +20,7 @@
         peer_port: TCP port for other entry instances.
         row_version: Version of its row; members with a lower version registered
             earlier.
-        strength: Processing capacity for a leader there, in thousandths of a core.
+        strength: Its capacity for the work of a leader, in thousandths of a core.
     """
 
     instance_id: str
--- a/marjoramgrade/messages/requests.py
+++ b/marjoramgrade/messages/requests.py
@@ -43,7 +43,12 @@
 
 @attrs.frozen
 class BackendFenceReply:
-    """The response of a backend server to a new epoch."""
+    """The response of a backend server to a new epoch.
+
+    Attributes:
+        in_use: Number of its slots that are in use.
+        slots: Number of its slots.
+    """
 
     in_use: int
     slots: int
--- a/marjoramgrade/messages/routing.py
+++ b/marjoramgrade/messages/routing.py
@@ -13,7 +13,15 @@
 
 @attrs.frozen
 class DispatchSummary(Message[None]):
-    """Load of the backend servers of an owned shard."""
+    """Load of the backend servers of an owned shard.
+
+    Attributes:
+        shard: Name of the shard.
+        owner: Instance that owns it.
+        epoch: Epoch of the owner.
+        free_slots_by_service: Number of free slots of each service.
+        queued: Number of queued requests.
+    """
 
     shard: str
     owner: str
--- a/marjoramgrade/messages/rows.py
+++ b/marjoramgrade/messages/rows.py
@@ -11,7 +11,13 @@
 
 @attrs.frozen
 class RowId:
-    """Identifies a row by its table, the part of the table, and its key."""
+    """Identifies a row.
+
+    Attributes:
+        table: Its table.
+        part: Its partition, which can span tables; a transaction covers only one.
+        key: Its key.
+    """
 
     table: str
     part: str
--- a/marjoramgrade/messages/steps.py
+++ b/marjoramgrade/messages/steps.py
@@ -1,4 +1,7 @@
-"""Messages about step jobs, their workers and the leader."""
+"""Messages about step jobs, their workers and the leader.
+
+The link of a worker is the actor that sends the leader's calls to this worker.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +43,12 @@
 
 @attrs.frozen
 class StepJobShown:
-    """The state of a job."""
+    """The state of a job.
+
+    Attributes:
+        state: The state as clients see it.
+        team: Team that the job belongs to; empty on a public queue.
+    """
 
     state: StepJobState
     team: str = ""
@@ -69,7 +77,12 @@
 
 @attrs.frozen
 class CountPending(Message[PendingCount]):
-    """Asks how many accepted jobs of a queue have not started."""
+    """Asks how many accepted jobs of a queue have not started.
+
+    Attributes:
+        queue: Name of the queue.
+        config_version: Version of the configuration in which the queue was found.
+    """
 
     queue: str
     config_version: int = 0
@@ -77,7 +90,7 @@
 
 @attrs.frozen
 class LeaderBeat(Message[None]):
-    """Heartbeat that tells every instance who leads.
+    """Heartbeat that tells every instance which instance leads.
 
     Attributes:
         epoch: Number of the leadership.
@@ -136,7 +149,14 @@
 
 @attrs.frozen
 class RequestAdvice(Message[StepAdvice]):
-    """Asks the placement advisor which workers may run a step."""
+    """Asks the placement advisor which workers may run a step.
+
+    Attributes:
+        job_id: The job.
+        occurrence: Index of the occurrence.
+        step: Index of the step.
+        worker_ids: The workers to choose from.
+    """
 
     job_id: str
     occurrence: int
@@ -220,9 +240,9 @@
 
 @attrs.frozen
 class ReleaseLeadership(Message[None]):
-    """Asks to release the leadership permanently.
+    """Asks to release the leadership and not to acquire it again.
 
-    The reply comes once the store has recorded the release or has failed.
+    The reply comes once the write of the release has succeeded or failed.
     """
 
 
@@ -333,21 +353,25 @@
 
 @attrs.frozen
 class WorkerCallUnanswered(Message[None]):
-    """A worker did not respond to a call."""
+    """A call that requested a worker's listing has failed."""
 
     worker_id: str
 
 
 @attrs.frozen
 class ShortenListingWaits(Message[None]):
-    """Shortens the waits of listings until a time, since a worker did not respond."""
+    """Asks a link to shorten the waits of its listings, since a call has failed.
+
+    Attributes:
+        until_ms: When the shortening ends, on this instance's clock.
+    """
 
     until_ms: int
 
 
 @attrs.frozen
 class WorkerUnresponsive(Message[None]):
-    """A worker does not respond.
+    """Several successive calls to a worker have failed.
 
     Attributes:
         worker_id: The worker.
@@ -360,7 +384,7 @@
 
 @attrs.frozen
 class SendRunStart(Message[None]):
-    """Asks the link to send the start of a run to the worker."""
+    """Asks the link to send the worker an order to start a run."""
 
     order: StartOrder
     fence: int
@@ -368,7 +392,7 @@
 
 @attrs.frozen
 class SendRunStop(Message[None]):
-    """Asks the link to send the stop of a run to the worker."""
+    """Asks the link to send the worker an order to stop a run."""
 
     task: TaskRef
     run: int
@@ -377,7 +401,14 @@
 
 @attrs.frozen
 class SendRunPace(Message[None]):
-    """Asks the link to send a change of speed of a run, in percent of full speed."""
+    """Asks the link to send the worker an order to change the speed of a run.
+
+    Attributes:
+        task: The task.
+        run: Number of the run.
+        percent: The new speed, in percent of full speed.
+        fence: Fencing token of the order.
+    """
 
     task: TaskRef
     run: int
--- a/marjoramgrade/messages/workers.py
+++ b/marjoramgrade/messages/workers.py
@@ -47,7 +47,13 @@
 
 @attrs.frozen
 class WorkerHeartbeat(Message[None]):
-    """A worker requested an extension of its lease."""
+    """A worker requested an extension of its lease.
+
+    Attributes:
+        shard: The shard whose owner grants the lease.
+        worker_id: The worker.
+        seq: Number of the heartbeat.
+    """
 
     shard: str
     worker_id: str
--- a/marjoramgrade/stepconfig.py
+++ b/marjoramgrade/stepconfig.py
@@ -76,7 +76,7 @@
     Attributes:
         name: Name of the team.
         secrets: The secrets of its keys.
-        weight: Its share when the workers are full, in jobs per second.
+        weight: Its share, in jobs per second, when the workers are full.
         limit: Resources that its running tasks may use; an amount of 0 means no limit.
     """
 
