--- a/marjoramgrade/actor.py
+++ b/marjoramgrade/actor.py
@@ -37,7 +37,7 @@
 def handles(
     message_type: type[Message[R]],
 ) -> Callable[[Callable[[Any, Any], Awaitable[R]]], Callable[[Any, Any], Awaitable[R]]]:
-    """Return a decorator that registers a method as the handler of a type."""
+    """Return a decorator that marks a method as the handler of a message type."""
 
     def mark(
         method: Callable[[Any, Any], Awaitable[R]],
@@ -50,6 +50,8 @@
 
 @attrs.define
 class _Envelope:
+    """A message and the future for its reply, None if it was sent with `tell`."""
+
     message: Message[Any]
     reply: asyncio.Future[Any] | None
 
@@ -96,8 +98,8 @@
     def spawn_critical(self, work: Awaitable[Any]) -> None:
         """Run a background task whose failure is fatal to the process.
 
-        An instance that continued without one of its loops would hold leases
-        that it does not serve.
+        An instance that continued without such a task would hold leases that it
+        does not serve.
         """
         self.spawn(work).add_done_callback(self._check_fatal)
 
@@ -216,7 +218,7 @@
 
 
 def _report_to_event_loop(error: BaseException) -> None:
-    context = {"message": "a loop of an actor has failed", "exception": error}
+    context = {"message": "a task of an actor has failed", "exception": error}
     asyncio.get_running_loop().call_exception_handler(context)
 
 
@@ -224,7 +226,8 @@
     """An exit stack that starts actors and stops them in reverse order.
 
     Attributes:
-        failed: Set when a loop of one of the actors has failed.
+        failed: Set when the mailbox task or a critical background task of one of
+            the actors has failed.
     """
 
     def __init__(self) -> None:
--- a/marjoramgrade/documents.py
+++ b/marjoramgrade/documents.py
@@ -101,7 +101,7 @@
     horizon_version: int = -1
 
 
-def _outcomes(value: Any, _: Any = None) -> str:
+def _check_outcomes(value: Any, _: Any = None) -> str:
     checked: str = text(MAX_TASKS)(value, str)
     if not set(checked) <= {outcome.value for outcome in Outcome}:
         raise InvalidValueError(
@@ -110,7 +110,7 @@
     return checked
 
 
-def _priority(value: Any, _: Any = None) -> Priority:
+def _parse_priority(value: Any, _: Any = None) -> Priority:
     member_by_name = {member.name.lower(): member for member in Priority}
     if type(value) is not str or value not in member_by_name:
         raise InvalidValueError(f"must be one of {', '.join(member_by_name)}")
@@ -130,7 +130,7 @@
     Job: {
         "job_id": name(max_length=MAX_JOB_ID_LENGTH),
         "shard": name(),
-        "outcomes": _outcomes,
+        "outcomes": _check_outcomes,
         "reason": text(MAX_REASON_BYTES),
     },
     Team: {
@@ -158,7 +158,7 @@
 converter = structuring.make_converter()
 for _kind in (JobKind, ZoneState, InstanceKind):
     converter.register_structure_hook(_kind, choice(_kind))
-converter.register_structure_hook(Priority, _priority)
+converter.register_structure_hook(Priority, _parse_priority)
 converter.register_unstructure_hook(Priority, lambda priority: priority.name.lower())
 for _class, _hooks in _HOOKS_BY_CLASS.items():
     register_class(converter, _class, _hooks)
@@ -195,8 +195,9 @@
         path: Path of the document inside a larger one, for error messages.
 
     Raises:
-        InvalidInputError: With the path and the reason of the first fault, and a
-            message that lists the first faults.
+        InvalidInputError: If the document is invalid. The details give the path and
+            the reason of the first fault; the message lists the first
+            `MAX_PROBLEMS` faults.
     """
     try:
         return converter.structure(document, kind)
--- a/marjoramgrade/structuring.py
+++ b/marjoramgrade/structuring.py
@@ -56,7 +56,7 @@
 
 
 class InvalidValueError(ValueError):
-    """A value has another type or is outside its bound; reported as a `Problem`."""
+    """A value has the wrong type or is out of bounds; reported as a `Problem`."""
 
 
 CONVERSION_ERRORS = (
@@ -173,7 +173,7 @@
 
 
 def choice(kind: type[enum.Enum]) -> StructHook:
-    """Return a hook for an enum whose members documents give by value."""
+    """Return a hook for an enum whose members appear in documents by value."""
     member_by_value = {member.value: member for member in kind}
     known = ", ".join(str(value) for value in member_by_value)
 
@@ -238,7 +238,13 @@
 def find_problems(
     error: Exception, path: str = "", limit: int = MAX_PROBLEMS
 ) -> list[Problem]:
-    """Return the first problems that an exception of a converter reports."""
+    """Return the first problems that an exception of a converter reports.
+
+    Args:
+        error: The exception.
+        path: Path of the document inside a larger one, or empty.
+        limit: Maximum number of problems to return.
+    """
     return list(itertools.islice(_iter_problems(error, path), limit))
 
 
--- a/marjoramgrade/table.py
+++ b/marjoramgrade/table.py
@@ -158,6 +158,7 @@
     """In-memory table for tests and for the stand-in platform."""
 
     def __init__(self) -> None:
+        # Rows in order of version: `apply` moves a rewritten row to the end.
         self._row_by_key: dict[str, Row] = {}
         self._version = 0
 
--- a/tests/test_actor.py
+++ b/tests/test_actor.py
@@ -96,7 +96,7 @@
 
 
 def test_a_loop_that_fails_is_reported_to_the_group() -> None:
-    """Guards against an instance that holds leases but has lost one of its loops."""
+    """Guards against an instance that holds leases but has lost a critical task."""
 
     async def run() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
