--- a/marjoramgrade/controllers/commits.py
+++ b/marjoramgrade/controllers/commits.py
@@ -48,6 +48,7 @@
 # The store counts as unreachable once a transaction has waited this long. A slow store
 # takes about a second; clients wait three.
 UNREACHABLE_MS = 1_500
+# Interval at which the time that a transaction has waited is checked.
 WATCH_MS = 100
 
 
@@ -160,8 +161,8 @@
     def _move_new_jobs_first(self) -> None:
         """Move jobs whose clients wait before the progress of other jobs.
 
-        A slow store writes fewer rows than the running jobs change. The writes of any
-        one row stay in order.
+        They would wait too long otherwise, since a slow store writes fewer rows than
+        the running jobs change. The writes of any one row stay in order.
         """
         jobs: list[_Request] = []
         others: list[_Request] = []
@@ -188,7 +189,7 @@
                 )
             except RowCheckFailedError as error:
                 if self._has_lost_lead(error):
-                    self._end(requests)
+                    self._end_leadership(requests)
                     return False
                 self._reconcile(write_by_row, error)
                 continue
@@ -233,7 +234,7 @@
             found = current.get(row)
             version = ABSENT if found is None or found.deleted else found.version
             self._version_by_row[row] = version
-            has_effect = (
+            has_taken_effect = (
                 write.remove
                 if version == ABSENT
                 else (
@@ -242,7 +243,7 @@
                     and found.value == write.value
                 )
             )
-            if has_effect:
+            if has_taken_effect:
                 del write_by_row[row]
 
     def _record_success(
@@ -254,7 +255,7 @@
         for row, write in write_by_row.items():
             self._version_by_row[row] = ABSENT if write.remove else answer.version
         self._waiting_since_ms = 0
-        self._tell(LeadershipConfirmed(self._epoch, asked_ms))
+        self._tell_subscribers(LeadershipConfirmed(self._epoch, asked_ms))
         self._set_reachable(True)
 
     async def _watch_store(self) -> None:
@@ -280,12 +281,12 @@
             return
         self._reachable = reachable
         logs.log_event("store_reachable" if reachable else "store_unreachable")
-        self._tell(StoreReachability(reachable))
+        self._tell_subscribers(StoreReachability(reachable))
 
-    def _end(self, requests: list[_Request]) -> None:
+    def _end_leadership(self, requests: list[_Request]) -> None:
         self._queue = [*requests, *self._queue]
         self._fail_all(NotOwnerError("another instance leads"))
-        self._tell(LeadershipEnded(self._epoch, "another instance leads"))
+        self._tell_subscribers(LeadershipEnded(self._epoch, "another instance leads"))
 
     def _fail_all(self, error: MarjoramgradeError) -> None:
         for request in self._queue:
@@ -293,6 +294,6 @@
                 request.done.set_exception(error)
         self._queue.clear()
 
-    def _tell(self, message: Message[None]) -> None:
+    def _tell_subscribers(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
             subscriber.tell(message)
--- a/marjoramgrade/controllers/directory.py
+++ b/marjoramgrade/controllers/directory.py
@@ -34,7 +34,7 @@
 RETRY_MS = 100
 # Every worker updates its entry with each heartbeat: 120 updates a second in a fleet of
 # 176. Pausing this long after each page lets one call fetch many of them. The delay is
-# harmless: a worker that leaves says so two seconds before it must get no more work.
+# harmless: a leaving worker announces two seconds ahead that it must get no more work.
 WORKER_WATCH_PAUSE_MS = 150
 
 
@@ -86,7 +86,7 @@
         self._scheduler = scheduler
         self._config = StepConfig()
         self._evacuated: frozenset[str] = frozenset()
-        self._changed = asyncio.Event()
+        self._config_changed = asyncio.Event()
         self._worker_by_id: dict[str, StepWorker] = {}
         self._worker_watch: asyncio.Task[None] | None = None
 
@@ -112,18 +112,18 @@
             )
 
     @handles(GetStepConfig)
-    async def _get(self, message: GetStepConfig) -> StepConfig:
+    async def _get_config(self, message: GetStepConfig) -> StepConfig:
         return self._config
 
     @handles(AwaitStepConfig)
-    async def _await(self, message: AwaitStepConfig) -> Any:
+    async def _await_config(self, message: AwaitStepConfig) -> Any:
         return self.spawn(self._await_version(message))
 
     async def _await_version(self, message: AwaitStepConfig) -> StepConfig:
         try:
             async with asyncio.timeout(message.timeout_ms / 1000):
                 while self._config.version < message.version:
-                    changed = self._changed
+                    changed = self._config_changed
                     await changed.wait()
         except TimeoutError:
             raise StaleAuthorityError(
@@ -137,7 +137,13 @@
         changed: Callable[[tuple[StoredRow, ...], bool], None],
         pause_ms: int,
     ) -> None:
-        """Read a whole table, then its changes; start over if history was lost."""
+        """Read a whole table, then its changes; start over if history was lost.
+
+        Args:
+            table: The table.
+            changed: Applies rows; the flag tells whether they are the whole table.
+            pause_ms: Pause after each page of changes.
+        """
         after: int | None = None
         while True:
             try:
@@ -185,17 +191,17 @@
                 if not row.deleted:
                     evacuated.add(zone)
             elif row.row.key == self._format.config_key and not row.deleted:
-                config = self._parse_newer(config, row)
+                config = self._parse_if_newer(config, row)
         if config is self._config and evacuated == self._evacuated:
             return
         if evacuated != self._evacuated:
             logs.log_event("zones_evacuated", zones=",".join(sorted(evacuated)))
         self._config, self._evacuated = config, frozenset(evacuated)
-        self._tell(StepConfigChanged(config, self._evacuated))
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._tell_subscribers(StepConfigChanged(config, self._evacuated))
+        self._config_changed.set()
+        self._config_changed = asyncio.Event()
 
-    def _parse_newer(self, config: StepConfig, row: StoredRow) -> StepConfig:
+    def _parse_if_newer(self, config: StepConfig, row: StoredRow) -> StepConfig:
         try:
             parsed = self._format.parse_config(row.value)
         except InvalidInputError as error:
@@ -233,6 +239,6 @@
             self._worker_by_id[row.row.key] = worker
         self._scheduler.tell(WorkersChanged(tuple(self._worker_by_id.values())))
 
-    def _tell(self, message: Message[None]) -> None:
+    def _tell_subscribers(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
             subscriber.tell(message)
--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -48,7 +48,7 @@
 
 # Pause between attempts while another instance takes over the lead.
 RETRY_MS = 60
-# Timeout of one attempt at the leader. Commits usually take 20 ms, or 1 s on a slow
+# Time-out of one request to the leader. Commits usually take 20 ms, or 1 s on a slow
 # store.
 ATTEMPT_TIMEOUT_MS = 1_500
 # A job that reached no leader is refused once no leader has sent a reply or heartbeat
@@ -56,11 +56,11 @@
 # accepted is retried until the deadline: otherwise its client could retry at an
 # instance that knows of no leader and refuses the job as not run, while the job runs.
 NO_LEADER_TIMEOUT_MS = 1_500
-# Part of the client's time that is reserved for sending the response.
-ANSWER_MARGIN_MS = 60
+# Time before the client's deadline that is reserved for sending the response.
+RESPONSE_MARGIN_MS = 60
 
 # Refusals by the leader. They are passed on only if no earlier attempt may have reached
-# a leader, since that attempt may have been accepted.
+# a leader, which may have accepted the request.
 _REFUSALS = (
     InvalidInputError,
     OverloadedError,
@@ -126,7 +126,7 @@
         return self.spawn(self._request_until(message.request, message.deadline_ms))
 
     @handles(LeaderBeat)
-    async def _heartbeat(self, message: LeaderBeat) -> None:
+    async def _heartbeat_received(self, message: LeaderBeat) -> None:
         self._last_contact_ms = self._clock.now_ms()
 
     async def _request_until(self, message: LeaderRequest, deadline_ms: int) -> Any:
@@ -140,10 +140,10 @@
             RefusedError: If the request was not accepted.
             OutcomeUnknownError: If the request may have been accepted.
         """
-        was_sent = False
+        may_be_accepted = False
         failure: MarjoramgradeError = NoLeaderError("no instance leads")
-        while self._clock.now_ms() + ANSWER_MARGIN_MS < deadline_ms:
-            left_ms = deadline_ms - self._clock.now_ms() - ANSWER_MARGIN_MS
+        while self._clock.now_ms() + RESPONSE_MARGIN_MS < deadline_ms:
+            left_ms = deadline_ms - self._clock.now_ms() - RESPONSE_MARGIN_MS
             try:
                 answer = await self._attempt(message, min(left_ms, ATTEMPT_TIMEOUT_MS))
                 self._last_contact_ms = self._clock.now_ms()
@@ -151,20 +151,20 @@
             except (NotOwnerError, OwnerUnreachableError, NoLeaderError) as error:
                 failure = error
             except OutcomeUnknownError as error:
-                was_sent, failure = True, error
+                may_be_accepted, failure = True, error
             except (JobNotFoundError, QueueNotFoundError):
                 self._last_contact_ms = self._clock.now_ms()
                 raise
             except _REFUSALS:
-                if not was_sent:
+                if not may_be_accepted:
                     raise
             if isinstance(message, GetStepJob):
                 return await self._read_state(message)
             unresponsive_ms = self._clock.now_ms() - self._last_contact_ms
-            if not was_sent and unresponsive_ms > NO_LEADER_TIMEOUT_MS:
+            if not may_be_accepted and unresponsive_ms > NO_LEADER_TIMEOUT_MS:
                 break
             await asyncio.sleep(RETRY_MS / 1000)
-        if was_sent:
+        if may_be_accepted:
             raise OutcomeUnknownError("the leader did not reply in time")
         logs.log_event("request_refused", code=failure.code, leader=self._leader_id)
         raise NoLeaderError(f"no leader accepted the request: {failure.message}")
--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -70,7 +70,7 @@
     """Durations that every leader uses.
 
     Attributes:
-        worker_lease_ms: Length of the leases that a leader grants to workers.
+        worker_lease_ms: Duration of the leases that a leader grants to workers.
         status_retention_ms: How long the state of an ended job can be queried.
     """
 
@@ -85,7 +85,7 @@
     Attributes:
         worker_id: The worker.
         born_unix_ms: Start time of the incarnation, which identifies it.
-        number: Highest number of the run ends; all up to it are acknowledged.
+        number: Number of the last run end; all up to it can be acknowledged.
     """
 
     worker_id: str
@@ -110,7 +110,7 @@
         pending_submission_by_job: Submissions that are being stored, by job id.
         roster: Ids of the workers that are stored as possible holders of runs.
         recovered_workers: Ids of the workers in the roster of an earlier leader.
-        reachable: Whether writes reach the store.
+        is_store_reachable: Whether writes reach the store.
         is_renewing: Whether a renewal of the lead is being written.
         grant_until_ms: Until when leases of workers may be extended.
         plan_scheduled: Whether the planner is about to run.
@@ -131,7 +131,7 @@
     )
     roster: frozenset[str] = frozenset()
     recovered_workers: frozenset[str] = frozenset()
-    reachable: bool = True
+    is_store_reachable: bool = True
     is_renewing: bool = False
     grant_until_ms: int = 0
     plan_scheduled: bool = False
@@ -149,7 +149,7 @@
         peers: Sends messages to the other instances.
         advisor: Calls the placement advisor from this instance.
         connect: Creates the client of a worker.
-        terms: Durations of leases and of the retention of ended jobs.
+        durations: Durations of leases and of the retention of ended jobs.
         clock: Monotonic and Unix time.
         metrics: Counters and timings.
     """
@@ -161,7 +161,7 @@
         peers: Actor,
         advisor: Actor,
         connect: ConnectWorker,
-        terms: LeaderDurations,
+        durations: LeaderDurations,
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -171,7 +171,7 @@
         self._peers = peers
         self._advisor = advisor
         self._connect = connect
-        self._terms = terms
+        self._durations = durations
         self._clock = clock
         self._metrics = metrics
         self._config = StepConfig()
@@ -242,7 +242,8 @@
             worker = lead.state.worker_by_id.get(action.worker_id)
             order = action.order
             if link is None or worker is None or worker.fence != action.fence:
-                # The listing under the newer fence showed that this run is absent.
+                # The listing under the newer fencing token showed that the run is
+                # absent.
                 continue
             run = worker.run_by_task.get((order.task, order.run))
             if run is None:
@@ -275,18 +276,18 @@
         earliest_expiry_ms = 0
         if is_recovered:
             # An earlier leader that still runs may extend leases for GRANT_LIMIT_MS,
-            # and each lease then expires by the worker's own clock.
+            # and each lease then expires by the worker's clock, which may run slower.
             earliest_expiry_ms = (
                 self._clock.now_ms()
                 + GRANT_LIMIT_MS
-                + self._terms.worker_lease_ms * 11 // 10
+                + self._durations.worker_lease_ms * 11 // 10
             )
         link = StepWorkerLink(
             worker,
             self._connect(worker),
             self,
             self._clock,
-            self._terms.worker_lease_ms,
+            self._durations.worker_lease_ms,
             fence,
             earliest_expiry_ms,
         )
@@ -376,7 +377,7 @@
         self.spawn(self._store_changed_jobs(lead, writes, [], None, ()))
 
     async def _ask_advice(self, lead: LeaderState, action: AskAdvice) -> None:
-        channels, chosen = lead.planner.channels, action.instance_id
+        channels, instance_id = lead.planner.channels, action.instance_id
         request = RequestAdvice(
             action.job_id, action.occurrence, action.step, action.worker_ids
         )
@@ -384,22 +385,24 @@
         is_reached = True
         started_ms = self._clock.now_ms()
         try:
-            if chosen == self._instance_id:
+            if instance_id == self._instance_id:
                 advice = await self._advisor.ask(request)
             else:
-                timeout_ms = channels.pending_ms(chosen) + ADVICE_MARGIN_MS
-                advice = await self._peers.ask(CallPeer(chosen, request, timeout_ms))
+                timeout_ms = channels.pending_ms(instance_id) + ADVICE_MARGIN_MS
+                advice = await self._peers.ask(
+                    CallPeer(instance_id, request, timeout_ms)
+                )
         except MarjoramgradeError as error:
             now_ms = self._clock.now_ms()
-            channels.avoid(chosen, now_ms - started_ms, now_ms)
+            channels.avoid(instance_id, now_ms - started_ms, now_ms)
             is_reached = isinstance(error, AdvisorError)
             logs.log_event(
-                "advice_failed", job=action.job_id, by=chosen, code=error.code
+                "advice_failed", job=action.job_id, by=instance_id, code=error.code
             )
         else:
-            channels.record_answer(chosen)
+            channels.record_answer(instance_id)
         finally:
-            channels.ended(chosen, action.decide_ms)
+            channels.ended(instance_id, action.decide_ms)
         if self._lead is not lead:
             return
         now_ms = self._clock.now_ms()
@@ -408,6 +411,8 @@
                 action, is_reached=is_reached, now_ms=now_ms
             )
         else:
-            text_by_worker = {w.worker_id: w.ticket for w in advice.workers}
-            lead.planner.apply_advice(action, text_by_worker, now_ms + advice.valid_ms)
+            ticket_by_worker = {w.worker_id: w.ticket for w in advice.workers}
+            lead.planner.apply_advice(
+                action, ticket_by_worker, now_ms + advice.valid_ms
+            )
         self._schedule_plan(lead)
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -167,7 +167,7 @@
     @handles(StoreReachability)
     async def _store_reachability_changed(self, message: StoreReachability) -> None:
         if self._lead is not None:
-            self._lead.reachable = message.reachable
+            self._lead.is_store_reachable = message.reachable
 
     def _watch_workers(self, enabled: bool) -> None:
         if self._directory is not None:
--- a/marjoramgrade/controllers/leaderprobe.py
+++ b/marjoramgrade/controllers/leaderprobe.py
@@ -36,7 +36,7 @@
     clock: Clock
 
     async def ask_leader_age(self, instance_id: str) -> LeaderAge | None:
-        """Return how long ago an instance heard the leader, or None without a reply."""
+        """Return how long ago an instance heard the leader, None if no reply."""
         try:
             answer = await self.peers.ask(
                 CallPeer(instance_id, AskLeaderAge(), ASK_TIMEOUT_MS)
@@ -46,28 +46,28 @@
         return answer if isinstance(answer, LeaderAge) else None
 
     async def count_without_heartbeat(
-        self, instance_ids: Sequence[str], leader: LeaderRow, unheard_ms: int
+        self, instance_ids: Sequence[str], leader: LeaderRow, min_age_ms: int
     ) -> int:
         """Return how many instances lack a recent heartbeat of a leader.
 
         Args:
             instance_ids: The instances to ask.
             leader: The leader; instances that know a later epoch do not count.
-            unheard_ms: Minimum age of the last heartbeat for an instance to count.
+            min_age_ms: Minimum age of the last heartbeat for an instance to count.
         """
-        ages = await asyncio.gather(
+        replies = await asyncio.gather(
             *(self.ask_leader_age(other) for other in instance_ids)
         )
         return sum(
             1
-            for answer in ages
+            for answer in replies
             if answer is not None
             and answer.epoch <= leader.epoch
-            and answer.age_ms >= unheard_ms
+            and answer.age_ms >= min_age_ms
         )
 
     async def has_process_ended(self, instance_id: str) -> bool:
-        """Whether the process of an instance refuses connections."""
+        """Whether an instance refuses connections because its process has ended."""
         for _ in range(PROBE_ATTEMPTS):
             started_ms = self.clock.now_ms()
             try:
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -131,8 +131,11 @@
         # 0 if no heartbeat has arrived, or if the leader has left or its process ended.
         self._last_heartbeat_ms = 0
         self._last_heartbeat_clock_ms = 0
+        # 0 unless this instance leads.
         self._own_epoch = 0
+        # Epoch of this instance's last takeover attempt, 0 once it leads.
         self._attempted_epoch = 0
+        # Epoch of the last leader whose process is known to have ended.
         self._ended_epoch = 0
         self._leading_since_ms = 0
         self._confirmed_ms = 0
@@ -166,7 +169,7 @@
         self._last_heartbeat_ms = self._clock.now_ms()
         self._last_heartbeat_clock_ms = message.clock_ms
         self._follow(LeaderRow(message.epoch, message.leader_id))
-        self._tell(message)
+        self._tell_subscribers(message)
 
     @handles(LeaderLeft)
     async def _leader_left(self, message: LeaderLeft) -> None:
@@ -217,7 +220,7 @@
     @handles(LeadershipEnded)
     async def _leadership_ended(self, message: LeadershipEnded) -> None:
         if message.epoch == self._own_epoch:
-            self._mark_lost(message.reason)
+            self._mark_lead_lost(message.reason)
 
     @handles(ReleaseLeadership)
     async def _release_on_stop(self, message: ReleaseLeadership) -> Any:
@@ -229,7 +232,7 @@
         epoch = self._own_epoch
         if not epoch:
             return
-        self._mark_lost(reason)
+        self._mark_lead_lost(reason)
         self._scheduler.tell(LeadershipEnded(epoch, reason))
         row = serialize_row(LeaderRow(epoch, ""))
         try:
@@ -251,7 +254,7 @@
             await self._wait()
             if self._leaving:
                 continue
-            if self._own_epoch and self._is_only_relayed():
+            if self._own_epoch and self._has_only_relayed_path():
                 await self._release(
                     "the store is reachable only through other instances"
                 )
@@ -267,7 +270,7 @@
                 await self._take_over_if_needed()
 
     async def _wait(self) -> None:
-        """Wait until the next deadline or until the leader leaves or ends."""
+        """Wait for a deadline, or until the leader leaves or its process ends."""
         if self._own_epoch:
             due_ms = min(
                 self._heartbeat_sent_ms + HEARTBEAT_INTERVAL_MS,
@@ -281,7 +284,7 @@
             async with asyncio.timeout(pause_ms / 1000):
                 await self._wake.wait()
 
-    def _is_only_relayed(self) -> bool:
+    def _has_only_relayed_path(self) -> bool:
         since_ms = self._relayed_since_ms
         return (
             bool(since_ms)
@@ -296,7 +299,7 @@
                 self._own_epoch, self._instance_id, now_ms, now_ms - self._confirmed_ms
             )
             self._peers.tell(TellPeers(heartbeat))
-            self._tell(heartbeat)
+            self._tell_subscribers(heartbeat)
         if now_ms - self._renewal_sent_ms >= RENEWAL_INTERVAL_MS:
             self._renewal_sent_ms = now_ms
             # The scheduler sends the leader's writes one after the other, so that
@@ -308,8 +311,8 @@
         is_alone = len(self._members) < 2
         if is_alone and self._clock.now_ms() - self._started_ms < MEMBER_LIST_WAIT_MS:
             return
-        lost_ms = self._clock.now_ms() - self._direct_path_lost_ms
-        if self._direct_path_lost_ms and lost_ms < INELIGIBLE_MS:
+        without_path_ms = self._clock.now_ms() - self._direct_path_lost_ms
+        if self._direct_path_lost_ms and without_path_ms < INELIGIBLE_MS:
             return
         if not await self._read_leadership():
             return
@@ -392,12 +395,12 @@
     def _rank(self) -> int:
         """Return how many candidates try a takeover earlier, at most MAX_RANK."""
 
-        def score(member: Member) -> tuple[int, int, str]:
+        def sort_key(member: Member) -> tuple[int, int, str]:
             # During a rolling restart the newest instance is the last to be stopped
             # again.
             return -member.strength, -member.row_version, member.instance_id
 
-        own = score(
+        own = sort_key(
             next(
                 (m for m in self._members if m.instance_id == self._instance_id),
                 self._own,
@@ -406,7 +409,7 @@
         rank = sum(
             1
             for member in self._members
-            if member.instance_id != self._leader.leader_id and score(member) < own
+            if member.instance_id != self._leader.leader_id and sort_key(member) < own
         )
         return min(rank, MAX_RANK)
 
@@ -455,19 +458,19 @@
             return
         if self._own_epoch and row.epoch > self._own_epoch:
             epoch = self._own_epoch
-            self._mark_lost("another instance leads")
+            self._mark_lead_lost("another instance leads")
             self._scheduler.tell(LeadershipEnded(epoch, "another instance leads"))
         self._leader = row
-        self._tell(LeaderChanged(row.leader_id, row.epoch))
+        self._tell_subscribers(LeaderChanged(row.leader_id, row.epoch))
 
-    def _mark_lost(self, reason: str) -> None:
+    def _mark_lead_lost(self, reason: str) -> None:
         logs.log_event("lead_lost", epoch=self._own_epoch, reason=reason)
         epoch, self._own_epoch = self._own_epoch, 0
         self._last_heartbeat_ms = self._clock.now_ms()
         if self._leader.leader_id == self._instance_id:
             self._leader = LeaderRow(epoch, "")
-            self._tell(LeaderChanged("", epoch))
+            self._tell_subscribers(LeaderChanged("", epoch))
 
-    def _tell(self, message: Message[None]) -> None:
+    def _tell_subscribers(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
             subscriber.tell(message)
--- a/marjoramgrade/controllers/peers.py
+++ b/marjoramgrade/controllers/peers.py
@@ -38,8 +38,8 @@
     serialize_row,
 )
 
-# Pause between reads of the list of instances. The first reads are more frequent,
-# because all instances start at about the same time.
+# Pause between reads of the list of instances. The first FIRST_REFRESHES pauses are
+# shorter, because all instances start at about the same time.
 REFRESH_MS = 4_000
 FIRST_REFRESH_MS = 400
 FIRST_REFRESHES = 8
@@ -141,9 +141,9 @@
                 member.strength,
             )
         if found != self._member_by_id:
-            await self._change(found)
+            await self._apply_members(found)
 
-    async def _change(self, found: dict[str, Member]) -> None:
+    async def _apply_members(self, found: dict[str, Member]) -> None:
         for instance_id, member in self._member_by_id.items():
             if found.get(instance_id) != member and instance_id in self._link_by_id:
                 self.spawn(self._link_by_id.pop(instance_id).stop())
--- a/marjoramgrade/controllers/readiness.py
+++ b/marjoramgrade/controllers/readiness.py
@@ -15,9 +15,9 @@
 # connect to other instances; two heartbeats may be lost or late. The load balancer
 # reacts after two checks, one second apart. If no instance is ready, it uses all.
 HEARTBEAT_TIMEOUT_MS = 450
-# A leader whose heartbeats arrive but that the store has not confirmed for this long
-# accepts no jobs: it may be cut off from the store together with this instance. It
-# renews its lead three times in that time.
+# An instance is not ready either if the store has not confirmed its leader for this
+# long: the leader accepts no jobs, as it may be cut off from the store together with
+# this instance. A leader renews its lead three times in that time.
 CONFIRMATION_TIMEOUT_MS = 1_000
 
 
--- a/marjoramgrade/controllers/stepscheduling.py
+++ b/marjoramgrade/controllers/stepscheduling.py
@@ -54,12 +54,12 @@
     """Owns the jobs and the links to the workers while this instance is the leader."""
 
     async def on_start(self) -> None:
-        """Start the periodic tasks."""
+        """Start the periodic supervision and planning."""
         self.spawn_critical(self._tick_forever())
 
     @handles(SubmitStepJob)
     async def _submit(self, message: SubmitStepJob) -> Any:
-        lead, job_id = self._current(), message.job.job_id
+        lead, job_id = self._current_lead(), message.job.job_id
         # Submitting the same job id again is idempotent: the repeated request waits for
         # the result of the first.
         submission = lead.pending_submission_by_job.get(job_id)
@@ -79,7 +79,7 @@
             # A repeated submission can arrive much later.
             return StepJobAccepted(False)
         queue = await self._find_queue(job.queue, message.config_version)
-        if not lead.reachable:
+        if not lead.is_store_reachable:
             raise TableRequiredError("the store is unreachable")
         if len(lead.state.open_job_by_id) >= MAX_OPEN_JOBS:
             raise OverloadedError("too many jobs are open")
@@ -144,13 +144,13 @@
 
     @handles(GetStepJob)
     async def _get(self, message: GetStepJob) -> StepJobShown:
-        progress = self._find(self._current(), message.job_id)
+        progress = self._find_job(self._current_lead(), message.job_id)
         return StepJobShown(progress.visible_state, progress.job.team)
 
     @handles(CancelStepJob)
     async def _cancel(self, message: CancelStepJob) -> Any:
-        lead = self._current()
-        progress = self._find(lead, message.job_id)
+        lead = self._current_lead()
+        progress = self._find_job(lead, message.job_id)
         return self.spawn(self._cancel_job(lead, progress))
 
     async def _cancel_job(
@@ -159,11 +159,11 @@
         if not progress.state.is_final:
             lead.state.cancel_job(progress, self._clock.unix_ms())
             logs.log_event("job_cancelled", job=progress.job.job_id)
-            stored = self._save_changed_jobs(lead, None)
+            write = self._save_changed_jobs(lead, None)
             self._perform_actions(lead)
             self._schedule_plan(lead)
-            if stored is not None:
-                await stored
+            if write is not None:
+                await write
         else:
             await self._await_stored(lead)
         if not progress.visible_state.is_final:
@@ -174,14 +174,14 @@
 
     @handles(CountPending)
     async def _count_pending(self, message: CountPending) -> PendingCount:
-        return PendingCount(self._current().state.count_pending(message.queue))
+        return PendingCount(self._current_lead().state.count_pending(message.queue))
 
-    def _current(self) -> LeaderState:
+    def _current_lead(self) -> LeaderState:
         if self._lead is None:
             raise NotOwnerError("this instance is not the leader")
         return self._lead
 
-    def _find(self, lead: LeaderState, job_id: str) -> JobProgress:
+    def _find_job(self, lead: LeaderState, job_id: str) -> JobProgress:
         progress = lead.state.job_by_id.get(job_id)
         if progress is None or not progress.stored:
             raise JobNotFoundError(f"no job has the id {job_id}")
@@ -224,12 +224,15 @@
     def _purge(self, lead: LeaderState) -> None:
         """Remove finished jobs that clients may no longer query."""
         now_ms = self._clock.now_ms()
-        if now_ms - lead.last_purge_ms < PURGE_INTERVAL_MS or not lead.reachable:
+        if (
+            now_ms - lead.last_purge_ms < PURGE_INTERVAL_MS
+            or not lead.is_store_reachable
+        ):
             return
         lead.last_purge_ms = now_ms
         oldest_ms = (
             self._clock.unix_ms()
-            - self._terms.status_retention_ms
+            - self._durations.status_retention_ms
             - RETENTION_MARGIN_MS
         )
         for progress in list(lead.state.job_by_id.values()):
--- a/marjoramgrade/controllers/stepworkerlink.py
+++ b/marjoramgrade/controllers/stepworkerlink.py
@@ -81,13 +81,13 @@
         self._worker_lease_ms = worker_lease_ms
         self._fence = fence
         self._lease = WorkerLease(earliest_expiry_ms=earliest_expiry_ms)
-        self._acknowledged = 0
+        self._acknowledged_number = 0
         self._born_unix_ms = 0
-        self._last_end = 0
+        self._last_end_number = 0
         self._failures = 0
         self._grant_until_ms = 0
-        self._reported_expiry = False
-        self._changed = asyncio.Event()
+        self._has_reported_expiry = False
+        self._acknowledgement_received = asyncio.Event()
         self._alert_until_ms = 0
 
     async def on_start(self) -> None:
@@ -116,9 +116,9 @@
         if message.born_unix_ms != self._born_unix_ms:
             # Each incarnation numbers its own ends; those of this one are not stored.
             return
-        if message.number > self._acknowledged:
-            self._acknowledged = message.number
-            self._changed.set()
+        if message.number > self._acknowledged_number:
+            self._acknowledged_number = message.number
+            self._acknowledgement_received.set()
 
     @handles(RaiseFence)
     async def _raise_fence(self, message: RaiseFence) -> None:
@@ -205,7 +205,7 @@
         return self._clock.now_ms() < self._grant_until_ms
 
     def _next_expiry(self) -> int:
-        """Return when the lease shall expire on the worker's clock; 0 for no change.
+        """Return when the lease is to expire on the worker's clock; 0 for no change.
 
         The lease of an unresponsive worker is not extended: an order that is carried
         out late must not keep runs alive that count as lost.
@@ -233,16 +233,17 @@
 
     def _is_fully_acknowledged(self) -> bool:
         return (
-            bool(self._lease.clock_received_ms) and self._acknowledged >= self._last_end
+            bool(self._lease.clock_received_ms)
+            and self._acknowledged_number >= self._last_end_number
         )
 
     async def _wait_for_acknowledgement(self) -> None:
-        self._changed.clear()
+        self._acknowledgement_received.clear()
         try:
             async with asyncio.timeout(ACKNOWLEDGEMENT_WAIT_MS / 1000):
                 while not self._is_fully_acknowledged():
-                    await self._changed.wait()
-                    self._changed.clear()
+                    await self._acknowledgement_received.wait()
+                    self._acknowledgement_received.clear()
         except TimeoutError:
             return
 
@@ -256,7 +257,7 @@
         fence, asked_ms = self._fence, self._clock.now_ms()
         try:
             listing = await self._port.renew(
-                fence, self._next_expiry(), self._acknowledged, wait_ms
+                fence, self._next_expiry(), self._acknowledged_number, wait_ms
             )
         except WorkerRefusedError as error:
             if error.reason == "fence" and fence < self._fence:
@@ -273,17 +274,17 @@
     def _record_listing(self, listing: WorkerListing) -> None:
         if listing.born_unix_ms > self._born_unix_ms:
             self._born_unix_ms = listing.born_unix_ms
-            self._acknowledged = self._last_end = 0
+            self._acknowledged_number = self._last_end_number = 0
             self._lease = WorkerLease()
         elif listing.born_unix_ms < self._born_unix_ms:
             return
         self._lease.record_clock(listing.clock_ms, self._clock.now_ms())
         for end in listing.ended:
-            self._last_end = max(self._last_end, end.number)
+            self._last_end_number = max(self._last_end_number, end.number)
         if self._failures >= FAILURES_TO_UNRESPONSIVE:
             logs.log_event("worker_answers", worker=self._worker_id)
         self._failures = 0
-        self._reported_expiry = False
+        self._has_reported_expiry = False
 
     def _record_failure(self, error: WorkerError | InvalidInputError) -> bool:
         self._failures += 1
@@ -299,8 +300,8 @@
         expired = isinstance(error, WorkerReplacedError) or self._lease.has_expired(
             self._clock.now_ms()
         )
-        if self._failures >= FAILURES_TO_UNRESPONSIVE and not self._reported_expiry:
-            self._reported_expiry = expired
+        if self._failures >= FAILURES_TO_UNRESPONSIVE and not self._has_reported_expiry:
+            self._has_reported_expiry = expired
             if expired:
                 logs.log_event("worker_expired", worker=self._worker_id)
             self._scheduler.tell(WorkerUnresponsive(self._worker_id, expired))
--- a/marjoramgrade/controllers/storerouter.py
+++ b/marjoramgrade/controllers/storerouter.py
@@ -65,7 +65,7 @@
         self._peers = peers
         self._members: list[Member] = []
         self._is_direct = True
-        self._relay = 0
+        self._relay_index = 0
         self._overdue_ms = INITIAL_OVERDUE_MS
         self._subscribers: tuple[Actor, ...] = ()
 
@@ -176,7 +176,7 @@
             "no path to the store works"
         )
         for _ in range(min(MAX_RELAYS, len(self._members))):
-            member = self._members[self._relay % len(self._members)]
+            member = self._members[self._relay_index % len(self._members)]
             try:
                 answer = await self._peers.ask(
                     CallPeer(member.instance_id, message, RELAY_TIMEOUT_MS + wait_ms)
@@ -184,19 +184,19 @@
             except (TableUnavailableError, RefusedError) as error:
                 failure = TableUnavailableError(error.message)
             except (WriteOutcomeUnknownError, OutcomeUnknownError) as error:
-                self._relay += 1
+                self._relay_index += 1
                 if isinstance(message, CommitRows):
                     raise WriteOutcomeUnknownError(error.message) from None
                 failure = TableUnavailableError(error.message)
                 continue
             except TableError:
                 # A failed row check or lost history is a response of the store.
-                self._tell(StorePathStatus(self._is_direct, True))
+                self._tell_subscribers(StorePathStatus(self._is_direct, True))
                 raise
             else:
-                self._tell(StorePathStatus(self._is_direct, True))
+                self._tell_subscribers(StorePathStatus(self._is_direct, True))
                 return answer
-            self._relay += 1
+            self._relay_index += 1
         raise failure
 
     def _mark_direct_lost(self, reason: str) -> None:
@@ -204,10 +204,10 @@
             return
         self._is_direct = False
         logs.log_event("store_lost", reason=reason)
-        self._tell(StorePathStatus(False, False))
-        self.spawn(self._probe())
+        self._tell_subscribers(StorePathStatus(False, False))
+        self.spawn(self._await_direct_path())
 
-    async def _probe(self) -> None:
+    async def _await_direct_path(self) -> None:
         while not self._is_direct:
             await self._probe_until_response_s(PROBE_MS)
             self._mark_direct_regained()
@@ -217,8 +217,8 @@
             return
         self._is_direct = True
         logs.log_event("store_regained")
-        self._tell(StorePathStatus(True, False))
+        self._tell_subscribers(StorePathStatus(True, False))
 
-    def _tell(self, message: Message[None]) -> None:
+    def _tell_subscribers(self, message: Message[None]) -> None:
         for subscriber in self._subscribers:
             subscriber.tell(message)
--- a/marjoramgrade/controllers/workerport.py
+++ b/marjoramgrade/controllers/workerport.py
@@ -10,7 +10,7 @@
 class WorkerPort(abc.ABC):
     """Base class of the clients of one worker.
 
-    Every order carries a fencing token; a worker ignores orders whose token is below
+    Every order carries a fencing token; a worker refuses orders whose token is below
     the highest that it has seen. Every call can raise `WorkerUnreachableError` (nothing
     was sent), `WorkerUnresponsiveError` (the order may be carried out later),
     `WorkerReplacedError` and `WorkerRefusedError` (nothing was done).
@@ -35,7 +35,7 @@
 
     @abc.abstractmethod
     async def pace(self, task: TaskRef, run: int, percent: int, fence: int) -> int:
-        """Set the pace of a run in percent of its speed.
+        """Set the pace of a run in percent of its full speed.
 
         Returns:
             The worker's clock in milliseconds.
--- a/tests/rowstore.py
+++ b/tests/rowstore.py
@@ -23,7 +23,7 @@
 
 
 class MemoryRowStore(Actor):
-    """Handles the messages of the store.
+    """Fake store that handles requests for rows in memory.
 
     Attributes:
         rows: The stored rows by id.
@@ -104,9 +104,9 @@
 
     @handles(WatchRows)
     async def _watch(self, message: WatchRows) -> RowsPage:
-        return self.spawn(self._wait(message))
+        return self.spawn(self._wait_for_change(message))
 
-    async def _wait(self, message: WatchRows) -> RowsPage:
+    async def _wait_for_change(self, message: WatchRows) -> RowsPage:
         for _ in range(max(message.wait_ms // 10, 1)):
             rows = tuple(
                 row
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -35,7 +35,7 @@
         self.received.append(message)
 
     @handles(LeadershipEnded)
-    async def _down(self, message: LeadershipEnded) -> None:
+    async def _ended(self, message: LeadershipEnded) -> None:
         self.received.append(message)
 
     @handles(StoreReachability)
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -81,9 +81,9 @@
     async def pace(self, task, run, percent, fence):
         return self.clock()
 
-    def end(self, task, run, ending):
+    def end(self, task, run, status):
         number = self.ended[-1].number + 1 if self.ended else 1
-        self.ended.append(RunEnd(number, task, run, ending, ""))
+        self.ended.append(RunEnd(number, task, run, status, ""))
 
     async def renew(self, fence, expires_clock_ms, acknowledged, wait_ms):
         self.fence = max(self.fence, fence)
