--- a/marjoramgrade/api.py
+++ b/marjoramgrade/api.py
@@ -165,7 +165,7 @@
         return _parse_job(answer.document())
 
     async def cancel_job(self, job_id: str) -> Job:
-        """Request the end of a job's open tasks and return the job."""
+        """Request that a job's open tasks are cancelled and return the job."""
         answer = await self._transport.send("DELETE", _path("jobs", job_id))
         return _parse_job(answer.document())
 
--- a/marjoramgrade/composition.py
+++ b/marjoramgrade/composition.py
@@ -38,7 +38,7 @@
 
 
 def shard_of(instance: Instance, shards_per_zone: int) -> str:
-    """Return the shard that a worker or backend server belongs to.
+    """Return the name of the shard that a worker or backend server belongs to.
 
     Instances of one rack share a shard, so that gangs can be placed together;
     an instance without a rack is assigned by its id.
@@ -51,7 +51,11 @@
 
 @attrs.frozen
 class ControllerSet:
-    """The controllers of an entry instance."""
+    """The controllers of an entry instance.
+
+    For each shard, a dispatcher sends requests to backend servers and a scheduler
+    runs tasks on workers.
+    """
 
     authority: AuthorityController
     record_writer: RecordWriterController
@@ -100,7 +104,7 @@
 
     @property
     def shards(self) -> list[str]:
-        """The shards of the zone."""
+        """Names of the shards of the instance's zone."""
         count = self.settings.shards_per_zone
         return [f"{self.settings.zone}.{number}" for number in range(count)]
 
--- a/marjoramgrade/deployment.py
+++ b/marjoramgrade/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment file: the entry instances of a cell and its initial resources."""
+"""Reads deployment files: the entry instances of a cell and its initial resources."""
 
 from __future__ import annotations
 
@@ -162,7 +162,7 @@
     """Return the deployment in a document.
 
     Raises:
-        SettingsError: With every fault.
+        SettingsError: If the document is invalid; lists every fault.
     """
     try:
         deployment = _converter.structure(document, Deployment)
@@ -180,7 +180,7 @@
     """Return the deployment in a JSON file.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: If the file is invalid; lists every fault.
     """
     return parse_deployment(settingsfile.read_document(path))
 
@@ -192,7 +192,7 @@
 
     Raises:
         NotFoundError: If the deployment does not list the instance.
-        SettingsError: If the shared settings have faults.
+        SettingsError: If the shared settings are invalid; lists every fault.
     """
     for entry in deployment.entries:
         if entry.instance_id == instance_id:
@@ -205,7 +205,7 @@
 
 
 def serialize_seed(deployment: Deployment) -> dict[str, Any]:
-    """Return the initial teams, zones and services in the format of `apply`."""
+    """Return the initial teams, zones and services as input of `apply`."""
     return {
         "teams": [documents.serialize_team(team) for team in deployment.teams],
         "zones": [documents.serialize_zone(zone) for zone in deployment.zones],
@@ -247,6 +247,13 @@
 def _iter_duplicates(
     path: str, values: Iterable[Hashable], field: str = "host"
 ) -> Iterator[Problem]:
+    """Yield a problem for each repeated value.
+
+    Args:
+        path: Name of the list that the values come from.
+        values: One value for each entry of the list.
+        field: Field that holds the value; `host` if the value is a host and a port.
+    """
     seen: collections.Counter[Hashable] = collections.Counter()
     for index, value in enumerate(values):
         if seen[value]:
--- a/marjoramgrade/entry.py
+++ b/marjoramgrade/entry.py
@@ -100,24 +100,24 @@
         """Serve peers until no summary names this instance as the owner of a shard.
 
         A request that arrives on a connection while it closes has an unknown
-        outcome. As long as the connections stay open, requests are refused as not
-        run.
+        outcome. As long as the connections stay open, requests are refused and
+        reported as not run.
         """
         own_id = self._settings.instance_id
         while own_id in (await routes.ask(GetSummaries())).owners():
             await asyncio.sleep(SHUTDOWN_POLL_MS / 1000)
-        # The new owner's next summary informs the other peers.
+        # The other peers learn of the new owner from its next summary.
         await asyncio.sleep(SEND_INTERVAL_MS / 1000)
 
     async def _start(self) -> None:
-        settings, clock, counters = self._settings, self._clock, self._metrics
-        self._stack.callback(counters.close)
+        settings, clock, instance_metrics = self._settings, self._clock, self._metrics
+        self._stack.callback(instance_metrics.close)
         platform = PlatformClient(settings.platform_url, settings.instance_id)
         self._stack.callback(platform.close)
         backends = BackendClient(settings.max_body_bytes)
         self._stack.callback(backends.close)
         controllers = ControllerBuilder(
-            settings, clock, counters, platform, backends
+            settings, clock, instance_metrics, platform, backends
         ).build_controllers()
         self._controllers = controllers
         for actor in controllers.iter_before_join():
@@ -169,8 +169,8 @@
     logs.configure(sys.stderr, instance=settings.instance_id)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     async with EntryInstance.from_config(settings) as instance:
         is_working = await instance.wait_for_stop(stop)
         if is_working:
--- a/marjoramgrade/exposition.py
+++ b/marjoramgrade/exposition.py
@@ -20,7 +20,8 @@
     from prometheus_client import Metric
 
 PREFIX = "marjoramgrade_"
-# Upper bounds, from the time of one hop between instances to that of the longest job.
+# Upper bounds of the buckets, from the time of one hop between instances to that of
+# the longest job.
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 15_000, 60_000)
 PATH = "/metrics"
 
@@ -75,7 +76,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield counters, gauges and histograms; a label names members of a family."""
+        """Yield all metrics; the `reason` label names a member of a family."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
--- a/marjoramgrade/logs.py
+++ b/marjoramgrade/logs.py
@@ -17,8 +17,8 @@
 
 from marjoramgrade import jsontext
 
-# Limit for each event. Without it, logging a fault that affects every job or worker
-# would cost more than the work itself.
+# Limit for the lines of each event. Without it, logging a fault that affects every job
+# or worker would cost more than the work itself.
 MAX_LINES_PER_S = 40
 # A write of up to this size to a pipe is atomic: all or nothing.
 MAX_LINE_BYTES = 4_000
@@ -28,7 +28,7 @@
     """A text stream that log lines are written to."""
 
     def write(self, text: str, /) -> object:
-        """Write a text, possibly to a buffer."""
+        """Write a text, which the stream may buffer."""
 
     def flush(self) -> object:
         """Write out the buffer."""
@@ -83,8 +83,8 @@
 
         Returns:
             None if the budget is used up and the line is to be suppressed. Otherwise
-            the number of suppressed lines by event that is still to be reported,
-            given to the first line of a new second.
+            the numbers of suppressed lines to report, by event: those since the last
+            report for the first line of a new second, else none.
         """
         second = int(time.monotonic())
         suppressed = {}
@@ -130,7 +130,7 @@
 
     Args:
         event: Name of the decision or change in lower case, such as `shard_taken`.
-        fields: Details: texts, numbers or booleans.
+        fields: Details as texts, numbers or booleans.
     """
     suppressed = _budget.spend(event)
     if suppressed is None:
--- a/marjoramgrade/metrics.py
+++ b/marjoramgrade/metrics.py
@@ -52,7 +52,7 @@
 
 
 def declare(name: str, kind: MetricKind, unit: str, meaning: str) -> Metric:
-    """Register a metric.
+    """Register a metric and return it.
 
     Args:
         name: Name of the metric; a name that ends in `.*` declares a family.
@@ -135,7 +135,7 @@
 
 
 class Metrics(abc.ABC):
-    """Base class of the destinations of metrics.
+    """Counts events and records gauges and timings; subclasses store or send them.
 
     Attributes:
         count_by_name: Totals of the counters since the start of the process.
@@ -197,7 +197,8 @@
         self.flush()
 
 
-# Excludes the separators of the statsd protocol, among other characters.
+# Member of a family. Excludes the separators of the statsd protocol, among other
+# characters.
 _MEMBER = re.compile(r"[a-z][a-z0-9_]{0,63}")
 
 
--- a/marjoramgrade/settings.py
+++ b/marjoramgrade/settings.py
@@ -51,7 +51,8 @@
         http_port: TCP port for clients and operators.
         peer_port: TCP port for other entry instances.
         platform_url: Base URL of the platform's services.
-        shards_per_zone: Number of shards among which the instances of a zone are split.
+        shards_per_zone: Number of shards that the workers and backend servers of a
+            zone are split into.
         statsd_host: IP address of the statsd server, or empty for none.
         statsd_port: UDP port of the statsd server.
         operator_key_sha256: SHA-256 of the operators' key in hexadecimal; if empty,
--- a/marjoramgrade/settingsfile.py
+++ b/marjoramgrade/settingsfile.py
@@ -72,7 +72,7 @@
     def from_registries(
         cls, filters: Registry[Any], **registry_by_field: Registry[Any]
     ) -> KnownNames:
-        """Return the names that registries hold.
+        """Return the names that the registries contain.
 
         Args:
             filters: The registry of request filters.
@@ -131,7 +131,7 @@
 
 
 def policies_hook(converter: Converter) -> StructHook:
-    """Return a hook that adds default policies for the kinds of work left out."""
+    """Return a hook that adds default policies for the kinds of work not given."""
 
     def check(value: Any, _: Any = None) -> Mapping[JobKind, PolicyNames]:
         if type(value) is not dict:
@@ -160,7 +160,8 @@
         names: Names of the registered filters and policies.
 
     Raises:
-        SettingsError: With every fault. No part of the document is used then.
+        SettingsError: If the document is invalid; lists every fault. No part of the
+            document is used then.
     """
     converter = make_settings_converter(names)
     try:
@@ -206,6 +207,6 @@
     """Return the settings in a JSON file.
 
     Raises:
-        SettingsError: With every fault of the file.
+        SettingsError: If the file is invalid; lists every fault.
     """
     return parse_entry_settings(read_document(path), names)
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -183,7 +183,11 @@
 
 
 class _LineStream:
-    """Buffers the chunks of one response between the connection and its reader."""
+    """Buffers the chunks of one response between the connection and its reader.
+
+    Attributes:
+        error_body: Body of an error response, up to `MAX_ERROR_BYTES`.
+    """
 
     def __init__(self) -> None:
         self._chunks: Queue[bytes | None] = Queue(maxsize=MAX_BUFFERED_CHUNKS)
@@ -233,7 +237,7 @@
                 yield line
 
     def close(self) -> None:
-        """Discard buffered chunks and end the connection at its next chunk."""
+        """Discard the buffered chunks; the next chunk ends the connection."""
         self._closed = True
         while not self._chunks.empty():
             self._chunks.get_nowait()
--- a/marjoramgrade/watchclient.py
+++ b/marjoramgrade/watchclient.py
@@ -68,6 +68,13 @@
 
 @attrs.frozen
 class _Reset:
+    """A line that reports that changes were missed or where a new watch starts.
+
+    Attributes:
+        reset: Marks the line as a reset.
+        version: Version from which changes are available.
+    """
+
     reset: bool
     version: int
 
@@ -121,7 +128,7 @@
 
 @attrs.define
 class _LatestVersion:
-    """Latest version of one kind of resource and the names that changed at it."""
+    """Latest version seen of one kind of resource and the names changed at it."""
 
     version: int = 0
     names: set[str] = attrs.field(factory=set)
@@ -145,8 +152,10 @@
     @property
     def resume_after(self) -> int:
         """The version after which the watch resumes."""
-        newest = (latest.version - 1 for latest in self._latest_by_kind.values())
-        return max(newest, default=self.after)
+        versions_before = (
+            latest.version - 1 for latest in self._latest_by_kind.values()
+        )
+        return max(versions_before, default=self.after)
 
     def advance(self, event: WatchEvent) -> bool:
         """Record a change and return whether it is new.
--- a/tests/scriptedserver.py
+++ b/tests/scriptedserver.py
@@ -17,6 +17,10 @@
 
     Args:
         answers: Functions that write the responses, in the order of the requests.
+
+    Attributes:
+        requests: The requests received so far.
+        url: Base URL of the server while it runs.
     """
 
     def __init__(self, *answers: Answer) -> None:
@@ -26,6 +30,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator["ScriptedServer"]:
+        """Listen on a free port and set `url` while the context is open."""
         scripted = self
 
         class Handler(RequestHandler):
@@ -51,6 +56,8 @@
 def says(
     body: object, *, status: int = 200, version: int | None = None
 ) -> Callable[[RequestHandler], None]:
+    """Respond with a body, a status and, if given, a version as the `ETag`."""
+
     def answer(handler: RequestHandler) -> None:
         handler.set_status(status)
         if version is not None:
@@ -61,11 +68,14 @@
 
 
 def fails(code: str, status: int, ran: str = "no", **details: str) -> Answer:
-    report = {"code": code, "message": "told so", "ran": ran, "details": details}
+    """Respond with a typed error."""
+    report = {"code": code, "message": "scripted error", "ran": ran, "details": details}
     return says({"error": report}, status=status)
 
 
 def ran(body: str, status: int) -> Answer:
+    """Respond as a backend server that has run the request."""
+
     def answer(handler: RequestHandler) -> None:
         handler.set_status(status)
         handler.set_header("Ran", "yes")
@@ -75,12 +85,15 @@
 
 
 def hangs_up(handler: RequestHandler) -> None:
+    """Close the connection without a response."""
     stream = handler.request.connection.stream  # type: ignore[union-attr]
     handler._finished = True
     stream.close()
 
 
 def streams(*lines: str) -> Answer:
+    """Respond with lines as a streamed body."""
+
     async def answer(handler: RequestHandler) -> None:
         for line in lines:
             handler.write(line + "\n")
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -144,7 +144,7 @@
 
 
 def test_a_zone_move_tells_which_zones_have_it_in_force() -> None:
-    """Guards against operators who cut power before all zones apply the version."""
+    """Guards against a zone that is powered off before all zones apply the change."""
     zones = {"version": 9, "items": [ZONE, {"name": "hull", "state": "in"}]}
     result, sent = run_command(
         "zone-out",
@@ -165,7 +165,7 @@
 
 
 def test_a_change_that_a_zone_does_not_confirm_is_unknown_there() -> None:
-    """Guards against exit code 0 while a cut-off zone may still accept the key."""
+    """Guards against exit code 0 while an unreachable zone may still accept the key."""
     result, _ = run_command(
         "withdraw-key",
         "k",
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -62,7 +62,7 @@
 def test_a_deployment_that_contradicts_itself_is_refused(
     change: dict[str, object], path: str
 ) -> None:
-    """Guards against a cell that refers to unknown zones, services or teams."""
+    """Guards against a deployment that refers to unknown zones, services or teams."""
     with pytest.raises(SettingsError) as caught:
         deployment.parse_deployment({**load("ledgerwell"), **change})
     assert path in {problem.path for problem in caught.value.problems}
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -56,7 +56,7 @@
 
 
 def test_a_repeated_non_idempotent_request_runs_once(tmp_path: pathlib.Path) -> None:
-    """Guards against a posting that runs twice after a retry at another instance."""
+    """Guards against a request that runs twice after a retry at another instance."""
 
     async def run() -> None:
         async with Cell(tmp_path, workers_per_zone=1) as cell:
