--- a/marjoramgrade/controllers/authority.py
+++ b/marjoramgrade/controllers/authority.py
@@ -80,11 +80,11 @@
 
     @handles(MembersChanged)
     async def _members_changed(self, message: MembersChanged) -> None:
-        found = {member.instance_id: member for member in message.members}
-        for removed in set(self._member_by_id) - set(found):
+        member_by_id = {member.instance_id: member for member in message.members}
+        for removed in set(self._member_by_id) - set(member_by_id):
             self._promises.remove_member(removed)
-        self._member_by_id = found
-        self._promises.fleet.set_members(found)
+        self._member_by_id = member_by_id
+        self._promises.fleet.set_members(member_by_id)
 
     @handles(ConfigConfirmed)
     async def _config_confirmed(self, message: ConfigConfirmed) -> None:
@@ -177,7 +177,11 @@
                 log_event("admitted", members=len(self._member_by_id))
 
     def _earlier_members(self) -> frozenset[str] | None:
-        """Return the members registered before this instance, None if it is not."""
+        """Return the members registered before this instance.
+
+        Returns:
+            Their ids, or None if this instance is not registered yet.
+        """
         own = self._member_by_id.get(self._own.instance_id)
         if own is None:
             return None
@@ -197,6 +201,7 @@
             self._acknowledged_by.add(member)
 
     async def _run_rounds(self) -> None:
+        """Request promises at intervals while the table is unreachable."""
         while True:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(
--- a/marjoramgrade/controllers/config.py
+++ b/marjoramgrade/controllers/config.py
@@ -1,4 +1,4 @@
-"""The configuration: read, announced to peers, changed and confirmed as current.
+"""Reads, changes and announces the configuration, and confirms that it is current.
 
 A promise is a peer's time-limited guarantee that it makes no changes.
 """
@@ -102,7 +102,10 @@
 
     @handles(ConfigAttested)
     async def _config_attested(self, message: ConfigAttested) -> None:
-        """Extend the lease by all members' promises while the table is unreachable."""
+        """Extend the freshness lease while the table is unreachable.
+
+        The promises of all members show that the configuration is still current.
+        """
         if message.version == self._versions.current.version:
             self._freshness.confirm(message.asked_ms)
             self._publish()
--- a/marjoramgrade/controllers/dispatch.py
+++ b/marjoramgrade/controllers/dispatch.py
@@ -75,7 +75,7 @@
     Args:
         shard: Name of the shard.
         instance_id: This instance.
-        is_member: Whether an instance of the platform's list is in the shard.
+        is_member: Returns whether a listed instance belongs to the shard.
         backends: Connections to the backend servers.
         record_writer: Records the ids of non-idempotent requests.
         store: Typed access to the table.
@@ -228,7 +228,7 @@
         return self._grants.may_use(team, ONE_SLOT, self._usage_of(team))
 
     def _usage_of(self, team: str) -> Resources:
-        """Return the slots that a team may be using.
+        """Return an upper bound on the slots that a team uses.
 
         Requests of a previous owner and abandoned requests may belong to any team,
         so they count against every team.
@@ -237,6 +237,7 @@
         return Resources(slots=slots)
 
     def _weighted_usage_of(self, team: str) -> float:
+        """Return a team's requests in flight divided by its share."""
         known = self._config.teams_by_name.get(team)
         return self._running_by_team[team] / (known.share if known else 1)
 
--- a/marjoramgrade/controllers/grantmanager.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -25,8 +25,7 @@
 from marjoramgrade.resources import ZERO_RESOURCES, Resources
 from marjoramgrade.store import Store, StoredGrants
 
-# Each holder refreshes in one transaction per second, or sooner when work waits for
-# grant.
+# Each holder refreshes in one transaction per second, or sooner if a team was refused.
 REFRESH_INTERVAL_MS = 1_000
 UNMET_DEMAND_INTERVAL_MS = 200
 # Unused grant returns to the pool after this time, so that other shards can
@@ -40,7 +39,7 @@
 
 @attrs.define
 class _Demand:
-    """Grant that a team was refused, and since when it has had unused grant.
+    """Unmet demand of a team, and the time since which its grant is partly unused.
 
     Attributes:
         wanted: Largest amount refused since the last refresh.
@@ -54,11 +53,11 @@
 
     def pop_wanted_amount(self) -> Resources:
         """Return the amount to request now and set the multiple for the next one."""
-        asked = self.wanted.scaled(self.step, 1)
+        wanted_amount = self.wanted.scaled(self.step, 1)
         is_refused = self.wanted != ZERO_RESOURCES
         self.step = min(2 * self.step, MAX_DEMAND_MULTIPLIER) if is_refused else 1
         self.wanted = ZERO_RESOURCES
-        return asked
+        return wanted_amount
 
 
 class GrantManager:
@@ -181,6 +180,7 @@
         return planned
 
     def _next_row(self, team: Team, is_reconciled: bool) -> GrantsRow | None:
+        """Return the row to write for a team, or None if nothing is to change."""
         name = team.name
         row = self._held_grants.row(name)
         demand = self._demand_by_team.setdefault(name, _Demand())
@@ -197,15 +197,16 @@
         if team.limit == ZERO_RESOURCES:
             return None
         try:
-            return self._next_step(name, demand, wanted, is_reconciled)
+            return self._begin_grant_change(name, demand, wanted, is_reconciled)
         except NotOwnerError:
             # A later owner has claimed the grant; this holder has not been notified
             # of the change of owner yet.
             return None
 
-    def _next_step(
+    def _begin_grant_change(
         self, name: str, demand: _Demand, wanted: Resources, is_reconciled: bool
     ) -> GrantsRow | None:
+        """Return the row that claims, allocates, confirms or returns grant, or None."""
         claimed = self._held_grants.begin_claim(name)
         if claimed is not None:
             return claimed
--- a/marjoramgrade/controllers/inbound.py
+++ b/marjoramgrade/controllers/inbound.py
@@ -23,8 +23,8 @@
         config: Controller of the configuration.
         jobs: Controller of the jobs.
         routes: Controller of the routes.
-        dispatcher_by_shard: Request controllers of the shards of this zone.
-        scheduler_by_shard: Task controllers of the shards of this zone.
+        dispatcher_by_shard: Dispatch controllers of the shards of this zone.
+        scheduler_by_shard: Shard controllers of the shards of this zone.
     """
 
     def __init__(
--- a/marjoramgrade/controllers/jobs.py
+++ b/marjoramgrade/controllers/jobs.py
@@ -64,7 +64,7 @@
         record_writer: Writes job rows.
         shard_of: Returns the shard that a worker belongs to.
         routes: Chooses the home shard of a new job and forwards `GetTasks`.
-        peers: Reaches the other entry instances.
+        peers: Sends messages to the other entry instances.
         metrics: Counters.
         own_shards: The shards of this instance's zone.
         clock: Monotonic time.
@@ -257,8 +257,8 @@
         Args:
             jobs: Jobs that were read or written.
             read_version: Commit number up to which the change feed has been read.
-                Subscribers are told it even without newer jobs. Zero if the jobs
-                are not a page of the feed.
+                Subscribers are told this number even without newer jobs. Zero if
+                the jobs are not a page of the feed.
         """
         newer = tuple(stored for stored in jobs if self._is_newer(stored))
         if not newer and not read_version:
--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -99,7 +99,7 @@
         self._jobs().tell(JobsChanged((written,)))
 
     async def _write_move(self, write: WriteJob) -> StoredJob:
-        """Repeat the write until its outcome is known; no task may start before."""
+        """Repeat the write until its outcome is known; no task may start until then."""
         while True:
             try:
                 written: StoredJob = await self._record_writer.ask(write)
--- a/marjoramgrade/controllers/members.py
+++ b/marjoramgrade/controllers/members.py
@@ -74,7 +74,7 @@
         self._link_by_id: dict[str, Actor] = {}
         self._is_registered = False
         self._view = MemberView()
-        self._missing_since_ms: dict[str, int] = {}
+        self._missing_since_ms_by_member: dict[str, int] = {}
 
     async def on_start(self) -> None:
         """Start registering this instance and reading the registry."""
@@ -126,14 +126,14 @@
         if self._view.get(self._own.instance_id) is None:
             return
         now_ms = self._clock.now_ms()
-        self._missing_since_ms = {
-            member: self._missing_since_ms.get(member, now_ms)
+        self._missing_since_ms_by_member = {
+            member: self._missing_since_ms_by_member.get(member, now_ms)
             for member in self._member_by_id
             if self._view.get(member) is None
         }
         lapsed_by_member = {
             member: now_ms >= since_ms + REMOVE_AFTER_MS
-            for member, since_ms in self._missing_since_ms.items()
+            for member, since_ms in self._missing_since_ms_by_member.items()
         }
         removable = removable_members(self._member_by_id, self._view, lapsed_by_member)
         for member in sorted(removable):
--- a/marjoramgrade/controllers/recordwriter.py
+++ b/marjoramgrade/controllers/recordwriter.py
@@ -1,4 +1,4 @@
-"""The journal: batches the rows of many senders into few transactions."""
+"""Writes the job rows and request ids of many senders in few transactions."""
 
 from __future__ import annotations
 
@@ -38,12 +38,13 @@
 
     @property
     def key(self) -> str:
+        """Key of the row that is written."""
         if isinstance(self.record, WriteJob):
             return JOBS_PREFIX + self.record.job.job_id
         return self.record.key
 
     def has_failed(self, failed: frozenset[str]) -> bool:
-        """Return whether a check of this record is among the failed ones."""
+        """Return whether this record checks a key that is among the failed ones."""
         if self.key in failed:
             return True
         fence = self.record.fence if isinstance(self.record, WriteJob) else None
@@ -154,7 +155,10 @@
 def _refuse_failed(
     batch: list[_Pending], error: CheckFailedError, failed: frozenset[str]
 ) -> list[_Pending]:
-    """Refuse the records whose checks failed and return the others."""
+    """Refuse the records whose checks failed and return the others.
+
+    If the failed keys are not known, all records are refused.
+    """
     remaining = []
     for pending in batch:
         if failed and not pending.has_failed(failed):
--- a/marjoramgrade/controllers/routes.py
+++ b/marjoramgrade/controllers/routes.py
@@ -47,8 +47,8 @@
 # Summaries older than this are ignored.
 SUMMARY_LIFETIME_MS = 3_000
 SEND_INTERVAL_MS = 500
-# An unchanged summary is sent again at half its lifetime, so that one delay does
-# not let it expire.
+# An unchanged summary is sent again at half its lifetime, so that it does not expire
+# if one message is delayed.
 REPEAT_INTERVAL_MS = 1_500
 READ_TIMEOUT_MS = 2_000
 # Errors after which another shard may be tried. The failure of a request that ran
@@ -186,7 +186,7 @@
                 "no shard with a current owner has the capacity for the job"
             )
         choices = self._random.sample(fitting, min(2, len(fitting)))
-        chosen: str = min(choices, key=lambda s: _queue_per_processor(s)).shard
+        chosen: str = min(choices, key=lambda s: _load_key(s)).shard
         return chosen
 
     async def _run_with_retries(self, request: RunRequest) -> RunReply:
@@ -267,6 +267,7 @@
         return self._config.is_zone_in(_zone_of(shard))
 
     def _current(self, timed_by_shard: Mapping[str, _TimedSummary]) -> Iterator[Any]:
+        """Yield the summaries that are not older than their lifetime."""
         oldest_ms = self._clock.now_ms() - SUMMARY_LIFETIME_MS
         for timed in timed_by_shard.values():
             if timed.time_ms >= oldest_ms:
@@ -311,6 +312,7 @@
     return shard.rpartition(".")[0]
 
 
-def _queue_per_processor(summary: TaskSummary) -> tuple[float, int]:
-    processors = max(1, summary.total.cpu_millis)
-    return (summary.queued / processors, -summary.free.cpu_millis)
+def _load_key(summary: TaskSummary) -> tuple[float, int]:
+    """Return a sort key: queued tasks per CPU capacity, then most free CPU first."""
+    total_cpu_millis = max(1, summary.total.cpu_millis)
+    return (summary.queued / total_cpu_millis, -summary.free.cpu_millis)
--- a/marjoramgrade/controllers/shard.py
+++ b/marjoramgrade/controllers/shard.py
@@ -71,11 +71,11 @@
     Args:
         shard: Name of the shard.
         instance_id: This instance.
-        is_member: Whether an instance of the platform's list is in the shard.
+        is_member: Returns whether a listed instance belongs to the shard.
         policies_by_kind: Names of the policies of each kind of work.
         store: Typed access to the table.
         record_writer: Writes job rows.
-        make_link: Makes the actor that owns the connection to a worker.
+        make_link: Creates the actor that owns the connection to a worker.
         clock: Monotonic time.
         metrics: Counters.
         routes: Receives the shard's load and chooses the target shard of a move.
@@ -254,6 +254,7 @@
     # Scheduling, writes and connections
 
     def _is_home_of(self, stored: StoredJob) -> bool:
+        """Return whether the shard is the job's home and is owned here."""
         return self._owned_until_ms > 0 and stored.job.shard == self._shard
 
     def _is_owner(self) -> bool:
@@ -263,7 +264,7 @@
         """Return whether tasks may start.
 
         This instance must own the shard, and a configuration that is known to be
-        current must show the zone as in.
+        current must have the zone in the state `in`.
         """
         is_fresh = self._clock.now_ms() < self._config_fresh_until_ms
         zone = self._shard.rpartition(".")[0]
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -168,7 +168,7 @@
             self._discard_job(stored.job)
 
     def tasks_of(self, job_id: str) -> tuple[TaskStatus, ...]:
-        """Return the state of every task of a job that is homed here."""
+        """Return the state of every task of a job, or nothing for an unknown job."""
         stored = self.job_by_id.get(job_id)
         if stored is None:
             return ()
@@ -234,8 +234,8 @@
         for end in message.ends:
             self.task_ended(worker_id, end, now_ms)
         # Starts decided while the worker was disconnected are scheduled anew: their
-        # tasks are requeued below, so that sending the old starts as well could run
-        # a task twice.
+        # tasks are requeued below. Sending the old starts as well could run a task
+        # twice.
         self.outboxes.discard_unsent_starts(worker_id)
         reported = {run.task for run in message.running}
         for running in self.scheduler.running.tasks_of_worker(worker_id):
@@ -356,6 +356,7 @@
             self.scheduler.cancel(task)
 
     def _end(self, task: TaskId, status: EndStatus, now_ms: int) -> None:
+        """End a task's run; requeue the task or record its final outcome."""
         stored = self.job_by_id.get(task.job_id)
         entry = self.scheduler.task_ended(task, status, now_ms)
         if stored is None or stored.job.cancelled:
@@ -375,6 +376,7 @@
         )
 
     def _start_of(self, decision: StartTask) -> TaskStart:
+        """Return the message that starts the next attempt of a task."""
         task = decision.task
         spec = self.job_by_id[task.job_id].job.spec
         attempt = self._attempt_by_task.get(task, 0) + 1
--- a/marjoramgrade/controllers/watch.py
+++ b/marjoramgrade/controllers/watch.py
@@ -22,8 +22,8 @@
 
 # An interrupted watch can resume if it missed at most this many changes.
 MAX_RETAINED_EVENTS = 10_000
-# More unread events than this are replaced by a reset, from which the watcher
-# starts again.
+# More unread events than this are replaced by a reset, after which the watcher has to
+# read the current state again.
 MAX_UNREAD_EVENTS = 1_000
 
 
--- a/marjoramgrade/controllers/zonedrain.py
+++ b/marjoramgrade/controllers/zonedrain.py
@@ -9,7 +9,8 @@
 from marjoramgrade.messages.jobs import StoredJob
 from marjoramgrade.model import JobKind
 
-# Batch tasks may run to completion within this time after their zone was taken out.
+# Batch and gang tasks may run to completion within this time after their zone was
+# taken out.
 DRAIN_GRACE_MS = 10_000
 MAX_CONCURRENT_MOVES = 100
 ZONE_OUT_REASON = "zone taken out"
@@ -28,7 +29,7 @@
     _moving: set[str] = attrs.field(factory=set)
 
     def stop_due_tasks(self, now_ms: int) -> None:
-        """Stop services at once and batch tasks after a grace period."""
+        """Stop services at once, batch and gang tasks after a grace period."""
         if self._out_since_ms is None:
             self._out_since_ms = now_ms
         is_grace_over = now_ms >= self._out_since_ms + DRAIN_GRACE_MS
@@ -37,11 +38,11 @@
                 self._stop_job(job_id)
 
     def end(self) -> None:
-        """End the drain, since the zone is in; a later one has a new grace period."""
+        """End the drain once the zone is in; a later drain has a new grace period."""
         self._out_since_ms = None
 
     def begin_moves(self, now_ms: int) -> list[StoredJob]:
-        """Mark jobs without running tasks as moving and return them."""
+        """Dequeue jobs without running tasks, mark them as moving and return them."""
         movable: list[StoredJob] = []
         if not self.tasks.reconciliation.is_complete(now_ms):
             return movable
--- a/tests/test_authority.py
+++ b/tests/test_authority.py
@@ -14,6 +14,7 @@
 TEAM = "hospices"
 # Longer than the ownership lease, the worker lease and the freshness lease.
 OUTAGE_MS = max(WORKER_LEASE_MS, OWNERSHIP_LEASE_MS, FRESHNESS_MS) + 4_000
+# A withdrawn key must be refused within this time, even in a zone that is cut off.
 IN_FORCE_MS = 8_000
 
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -45,7 +45,10 @@
 
 
 def test_an_outcome_is_known_before_it_is_durable() -> None:
-    """Guards against an ended task listed as queued without a reason until written."""
+    """Guards against an ended task that is listed as queued without a reason.
+
+    It would be listed so until its outcome is written.
+    """
     outcomes, task = PendingOutcomes(), TaskId("pack", 0)
     outcomes.record(task, Outcome.DONE)
     outcomes.begin_write("pack")
