--- a/marjoramgrade/adapters/backend.py
+++ b/marjoramgrade/adapters/backend.py
@@ -55,7 +55,7 @@
             NotOwnerError: If the server refused the epoch; the request did not run.
             BackendFailedError: If the server ran the request and failed.
             OutcomeUnknownError: If no complete response arrived; the request may have
-                run. An `AnswerTimeoutError` if the time-out expired.
+                run. An `AnswerTimeoutError` if the timeout expired.
         """
         headers = {
             "Epoch": str(epoch),
--- a/marjoramgrade/adapters/httpfront.py
+++ b/marjoramgrade/adapters/httpfront.py
@@ -88,7 +88,7 @@
         self.clear_header("Server")
 
     def secret(self) -> str:
-        """Return the bearer token of the request, the secret of a key, or empty."""
+        """Return the bearer token, which is the secret of a key, or an empty string."""
         value = self.request.headers.get("Authorization", "")
         return value[len(BEARER) :] if value.startswith(BEARER) else ""
 
@@ -112,7 +112,7 @@
         self.finish(jsontext.serialize_text(error_document(error)))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Send failures that tornado detects in the same form as other errors."""
+        """Send the usual error document for an error that tornado detects."""
         error: MarjoramgradeError = InvalidInputError(self._reason)
         if status_code >= 500:
             error = MarjoramgradeError("internal error while handling the request")
@@ -129,12 +129,12 @@
         if operation is None:
             self.send_error(405)
             return
-        call = self._parse_call(arguments)
-        if call is None:
+        parsed = self._parse_call(arguments)
+        if parsed is None:
             return
         self.state.in_flight += 1
         try:
-            await self._respond(operation, call)
+            await self._respond(operation, parsed)
         except MarjoramgradeError as error:
             self.respond_with_error(error)
         finally:
--- a/marjoramgrade/adapters/httppool.py
+++ b/marjoramgrade/adapters/httppool.py
@@ -79,7 +79,7 @@
 
 
 def set_tcp_options(stream: IOStream, timeout_ms: int) -> None:
-    """Set the time-out of unacknowledged data and disable Nagle's algorithm.
+    """Set the timeout of unacknowledged data and disable Nagle's algorithm.
 
     Args:
         stream: A connected stream.
@@ -117,8 +117,8 @@
         self._address = address
         self._idle: list[IOStream] = []
         self._busy: set[IOStream] = set()
-        self._open = 0
-        self._max = max_connections
+        self._running_count = 0
+        self._max_connections = max_connections
         self._parameters = HTTP1ConnectionParameters(
             no_keep_alive=False, max_body_size=max_response_bytes
         )
@@ -128,7 +128,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether the pool has no idle connection and no running or waiting request."""
-        return not self._idle and not self._open and not self._waiters
+        return not self._idle and not self._running_count and not self._waiters
 
     def close(self) -> None:
         """Close every connection; requests in flight fail."""
@@ -151,9 +151,9 @@
         Args:
             method: HTTP method.
             path: Path and query.
-            timeout_ms: Time-out of the whole exchange, including the wait for a
+            timeout_ms: Timeout of the whole exchange, including the wait for a
                 connection.
-            body: Request body, or empty; its type is JSON.
+            body: Request body, or empty; sent with the content type of JSON.
             headers: Additional headers, or None.
 
         Raises:
@@ -165,7 +165,7 @@
         try:
             return await self._request(method, path, body, headers, deadline)
         finally:
-            self._open -= 1
+            self._running_count -= 1
             self._wake_waiter()
 
     async def _request(
@@ -270,8 +270,8 @@
             raise HttpNotSentError(
                 f"deadline passed before the request to {self._address}"
             )
-        if self._open < self._max:
-            self._open += 1
+        if self._running_count < self._max_connections:
+            self._running_count += 1
             return
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
@@ -282,10 +282,10 @@
             raise HttpNotSentError(
                 f"no connection to {self._address} became free in time"
             ) from None
-        self._open += 1
+        self._running_count += 1
 
     def _wake_waiter(self) -> None:
-        while self._waiters and self._open < self._max:
+        while self._waiters and self._running_count < self._max_connections:
             waiter = self._waiters.popleft()
             if not waiter.done():
                 waiter.set_result(None)
--- a/marjoramgrade/adapters/httpresources.py
+++ b/marjoramgrade/adapters/httpresources.py
@@ -54,7 +54,7 @@
         arguments: Variable parts of the path, in order.
         headers: Request headers.
         body: Request body.
-        request_id: The `Request-Id` header, or a generated id without it.
+        request_id: The `Request-Id` header, or a generated id if it is absent.
         remaining_ms: Time left until the request's deadline, in milliseconds.
     """
 
@@ -102,7 +102,7 @@
 
 @attrs.frozen
 class Operation:
-    """One method of a path.
+    """Parser and serializer for one HTTP method of a path.
 
     Attributes:
         parse: Turns the request into a message for the filter chain.
@@ -287,8 +287,10 @@
     """Register the operations that every type of configuration resource has."""
 
     def serialize_all(call: HttpCall, confirmed: ConfigConfirmed) -> HttpResponse:
-        by_name = kind.get_resources(confirmed.config)
-        items = [kind.serialize(by_name[name]) for name in sorted(by_name)]
+        resource_by_name = kind.get_resources(confirmed.config)
+        items = [
+            kind.serialize(resource_by_name[name]) for name in sorted(resource_by_name)
+        ]
         version = confirmed.config.version
         return _json_response({"version": version, "items": items}, version=version)
 
@@ -383,14 +385,14 @@
         )
         shard["free_slots"] = dict(dispatch.free_slots_by_service)
         shard["queued_requests"] = dispatch.queued
-    by_zone: dict[str, int] = {}
+    version_by_zone: dict[str, int] = {}
     for instance in summaries.instances:
-        known = by_zone.get(instance.zone, instance.config_version)
-        by_zone[instance.zone] = min(known, instance.config_version)
+        known = version_by_zone.get(instance.zone, instance.config_version)
+        version_by_zone[instance.zone] = min(known, instance.config_version)
     return _json_response(
         {
             "shards": [shards[name] for name in sorted(shards)],
-            "config": {"version_by_zone": by_zone},
+            "config": {"version_by_zone": version_by_zone},
         }
     )
 
--- a/marjoramgrade/adapters/peercodec.py
+++ b/marjoramgrade/adapters/peercodec.py
@@ -19,8 +19,8 @@
 from marjoramgrade import errors
 
 MAX_FRAME_BYTES = 4 * 1_048_576
-# Cap'n Proto traversal limit of one frame, in words; bounds the cost of decoding a
-# malicious frame.
+# Cap'n Proto traversal limit of one frame, in 8-byte words; bounds the cost of decoding
+# a malicious frame.
 MAX_TRAVERSAL_WORDS = MAX_FRAME_BYTES // 4
 
 capnp.remove_import_hook()
--- a/marjoramgrade/adapters/workerlink.py
+++ b/marjoramgrade/adapters/workerlink.py
@@ -69,7 +69,7 @@
         if self._connection is None:
             return
         try:
-            for document in _iter_documents(batch):
+            for document in _serialize_batch(batch):
                 # The reading task reports a closed connection.
                 self._connection.write_message(json.dumps(document))
         except WebSocketClosedError:
@@ -160,7 +160,7 @@
     }
 
 
-def _iter_documents(batch: WorkerBatch) -> list[dict[str, Any]]:
+def _serialize_batch(batch: WorkerBatch) -> list[dict[str, Any]]:
     documents: list[dict[str, Any]] = []
     if batch.granted_seq:
         documents.append(
--- a/marjoramgrade/commands/operations.py
+++ b/marjoramgrade/commands/operations.py
@@ -17,7 +17,8 @@
 from marjoramgrade.transport import ServerUnreachableError
 
 app = typer.Typer()
-# By the design page, a configuration is in force in every zone within this time.
+# According to the design page, a configuration is in force in every zone within
+# this time.
 DEFAULT_WAIT_MS = 8_000
 MAX_WAIT_MS = 600_000
 POLL_INTERVAL_MS = 200
--- a/marjoramgrade/commands/resources.py
+++ b/marjoramgrade/commands/resources.py
@@ -121,15 +121,15 @@
     """Delete a resource."""
     session = session_of(context)
     with session.exit_on_error():
-        found = RESOURCE_KINDS.get(kind)
-    version = session.run(lambda client: client.delete(found, name, if_version))
+        resource_kind = RESOURCE_KINDS.get(kind)
+    version = session.run(lambda client: client.delete(resource_kind, name, if_version))
     row = {"kind": kind, "name": name, "result": "deleted", "version": version}
     session.show_rows("applied", [row])
 
 
 @attrs.frozen
 class Plan:
-    """The validated resources of a file, in the order of their application."""
+    """The validated resources of a file, in the order in which to apply them."""
 
     resources: tuple[tuple[ResourceKind[Any], Any], ...]
 
--- a/marjoramgrade/filters/chain.py
+++ b/marjoramgrade/filters/chain.py
@@ -35,7 +35,7 @@
         routes: Controller that routes requests to shards.
         jobs: Job controller.
         instances: Controller of the platform's instance list.
-        watch: Controller of the watches.
+        watch: Controller of the watch subscriptions.
     """
 
     settings: EntrySettings
--- a/marjoramgrade/filters/context.py
+++ b/marjoramgrade/filters/context.py
@@ -30,12 +30,13 @@
 
 @attrs.define
 class RequestContext:
-    """One request and what the filters have found out about it.
+    """One request and what the filters have determined about it.
 
     Attributes:
         message: The client's request; filters may replace it.
         secret: Secret of the key sent with the request, or empty.
-        request_id: Id chosen by the client, or empty.
+        request_id: Id of the request; in requests to queues the id of the job, or
+            empty.
         deadline_ms: The client's deadline in ms on this instance's clock.
         principal: The sender; set by the `authenticate` filter.
         queue: The queue addressed; set by the `find_queue` filter.
--- a/marjoramgrade/platform/advice.py
+++ b/marjoramgrade/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's advice on which runners may run a step."""
+"""HTTP client of the placement advisor, a service of the platform."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from marjoramgrade.messages.steps import AdvisedWorker, RequestAdvice, StepAdvice
 from marjoramgrade.platform.decoding import DECODE_ERRORS
 
-# The service processes the calls of one machine sequentially and takes up to 1 s for
+# The advisor processes the calls of one machine sequentially and takes up to 1 s for
 # each.
 CALL_TIMEOUT_MS = 8_000
 MAX_CONNECTIONS = 16
 
 
 class AdviceClient(AdvisorPort):
-    """HTTP client of the advice service.
+    """Asks the placement advisor which workers may run a step.
 
     Args:
-        address: IP address and port of the advice service.
+        address: IP address and port of the placement advisor.
     """
 
     def __init__(self, address: str) -> None:
@@ -46,7 +46,7 @@
             raise AdvisorError(error.message) from None
         if answer.status != 200:
             raise AdvisorError(
-                f"the advice service responded with status {answer.status}"
+                f"the placement advisor responded with status {answer.status}"
             )
         try:
             document = msgspec.json.decode(answer.body)
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -100,8 +100,8 @@
     ],
 )
 def test_invalid_worker_registration_is_refused(change):
-    # Guards against a crash, and against a worker that does not exist, when another
-    # program writes to the table of workers.
+    # Guards against a crash, and against accepting a worker that does not exist, when
+    # another program writes to the table of workers.
     with pytest.raises(InvalidInputError):
         parse_worker("i-1", encode({**WORKER_ENTRY, **change}))
 
--- a/tests/test_platformclient.py
+++ b/tests/test_platformclient.py
@@ -43,9 +43,9 @@
             says({"instances": [WORKER, NEWER]}, version=2),
         )
         async with script.running():
-            source = InstanceList(PlatformClient(script.url, "e-1"))
+            instance_list = InstanceList(PlatformClient(script.url, "e-1"))
             ids_per_read = [
-                [i.instance_id for i in await source.read()] for _ in range(3)
+                [i.instance_id for i in await instance_list.read()] for _ in range(3)
             ]
         sent_tags = [r.headers.get("If-None-Match", "") for r in script.requests]
         return ids_per_read, sent_tags
@@ -64,8 +64,10 @@
             _without_tag({"instances": [NEWER]}),
         )
         async with script.running():
-            source = InstanceList(PlatformClient(script.url, "e-1"))
-            return [[i.instance_id for i in await source.read()] for _ in range(2)]
+            instance_list = InstanceList(PlatformClient(script.url, "e-1"))
+            return [
+                [i.instance_id for i in await instance_list.read()] for _ in range(2)
+            ]
 
     assert asyncio.run(run()) == [["w-1"], ["w-2"]]
 
