--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Measures what an entry instance costs, and how that grows with its load.
+"""Measures the resource use of an entry instance and its growth with load.
 
-Run `python -m bench.capacity [--json] [--series NAME]`. Each series changes one
-amount and leaves the others alone; a straight line through its readings gives
-the slope.
+Run `python -m bench.capacity [--json] [--series NAME]`. Each series varies one
+amount and holds the others constant; a least-squares line through its readings
+gives the slope.
 A run takes under three minutes and starts at most ten processes at a time.
 """
 
@@ -25,7 +25,7 @@
 from standins.processes import HOST
 
 ZONE = "leeds"
-FAR_ZONE = "skipton"
+OTHER_ZONE = "skipton"
 WORKERS = 100
 TEAMS = 61
 TASKS_PER_LONG_JOB = 100
@@ -37,9 +37,9 @@
 Report = Callable[[list[Reading]], None]
 Series = Callable[[Rig], Awaitable[list[Reading]]]
 OWNER_SERIES: Registry[Series] = Registry("series of an owner")
-# Each series starts from the state that the last one left. Memory that a series
-# used for a moment is reused by later ones, which hides their growth, so the
-# series that keep state come first.
+# Each series starts from the state that the previous one left. Memory that a
+# series used only temporarily is reused by later series and hides their growth, so
+# the series that retain state run first.
 OWNER_ORDER = (
     "workers",
     "teams",
@@ -54,7 +54,14 @@
 
 @attrs.frozen
 class Slope:
-    """A straight line through the readings of a series."""
+    """The least-squares line of one figure over the readings of a series.
+
+    Attributes:
+        series: Name of the series.
+        figure: Name of the measured value.
+        base: Value at amount zero, in the unit of the figure.
+        slope: Increase for each unit of the varied amount.
+    """
 
     series: str
     figure: str
@@ -63,7 +70,7 @@
 
 
 def fit(readings: list[Reading]) -> list[Slope]:
-    """Return the least-squares line of every figure of one series."""
+    """Return the least-squares line of each figure of a series."""
     names = sorted({name for reading in readings for name in reading.figures})
     amounts = [reading.amount for reading in readings]
     mean_amount = sum(amounts) / len(amounts)
@@ -86,7 +93,7 @@
 
 @OWNER_SERIES.register("workers")
 async def measure_workers(rig: Rig) -> list[Reading]:
-    """Vary the workers of the owner's shard."""
+    """Vary the number of workers in the owner's shard."""
     readings = []
     backends = [i for i in rig.cell.instances if i["kind"] == "backend"]
     workers = [i for i in rig.cell.instances if i["kind"] == "worker"]
@@ -98,12 +105,12 @@
 
 @OWNER_SERIES.register("listed")
 async def measure_listed(rig: Rig) -> list[Reading]:
-    """Vary the instances that the platform lists for other shards."""
-    readings = [rig.repeat_rest("listed")]
+    """Vary the number of listed instances that belong to other shards."""
+    readings = [rig.repeat_idle_reading("listed")]
     listed = rig.listed
     for count in (1_000, 2_000):
-        far = [_make_far_worker(number) for number in range(count)]
-        await rig.list_instances([*listed, *far])
+        other_workers = [_make_other_worker(number) for number in range(count)]
+        await rig.list_instances([*listed, *other_workers])
         readings.append(await rig.measure("listed", count))
     await rig.list_instances(listed)
     return readings
@@ -111,7 +118,7 @@
 
 @OWNER_SERIES.register("teams")
 async def measure_teams(rig: Rig) -> list[Reading]:
-    """Vary the teams, each with a limit and one key."""
+    """Vary the number of teams, each with a key and all but one with a limit."""
     readings = []
     declared = 0
     for count in (5, 30, TEAMS):
@@ -123,12 +130,12 @@
 
 @OWNER_SERIES.register("starts")
 async def measure_starts(rig: Rig) -> list[Reading]:
-    """Vary the task starts a second; a job has ten tasks."""
+    """Vary the task starts per second; a job has ten tasks."""
 
     async def submit() -> None:
-        await rig.submit_one(TASKS_PER_SHORT_JOB, SHORT_RUN_MS)
+        await rig.submit_job(TASKS_PER_SHORT_JOB, SHORT_RUN_MS)
 
-    readings = [rig.repeat_rest("starts")]
+    readings = [rig.repeat_idle_reading("starts")]
     for rate in (30, 60, 120):
         per_second = rate / TASKS_PER_SHORT_JOB
         readings.append(await rig.measure("starts", rate, submit, per_second))
@@ -137,16 +144,16 @@
 
 @OWNER_SERIES.register("requests")
 async def measure_requests(rig: Rig) -> list[Reading]:
-    """Vary the requests a second that the instance takes and dispatches."""
-    readings = [rig.repeat_rest("requests")]
+    """Vary the requests per second that the instance receives and dispatches."""
+    readings = [rig.repeat_idle_reading("requests")]
     for rate in (50, 100):
-        readings.append(await rig.measure("requests", rate, rig.request_one, rate))
+        readings.append(await rig.measure("requests", rate, rig.send_request, rate))
     return readings
 
 
 @OWNER_SERIES.register("running")
 async def measure_running(rig: Rig) -> list[Reading]:
-    """Vary the long tasks that run in the owner's shard."""
+    """Vary the number of long tasks that run in the owner's shard."""
     readings = []
     running = 0
     for count in (0, 1_000, 2_000):
@@ -160,8 +167,8 @@
 
 @OWNER_SERIES.register("jobs")
 async def measure_jobs(rig: Rig) -> list[Reading]:
-    """Vary the jobs that the instance knows; those added have ended."""
-    readings = [rig.repeat_rest("jobs")]
+    """Vary the number of ended jobs that the instance stores."""
+    readings = [rig.repeat_idle_reading("jobs")]
     known = 0
     for count in (1_000, 2_000):
         await rig.submit(count - known, 1, 1)
@@ -172,22 +179,22 @@
 
 @OWNER_SERIES.register("limited")
 async def measure_limited(rig: Rig) -> list[Reading]:
-    """Count the starts of a team with a limit that has 1,000 tasks waiting."""
+    """Measure the starts of a limited team that has 1,000 waiting tasks."""
     running = await rig.count_running()
-    rest = rig.repeat_rest("limited")
+    idle_reading = rig.repeat_idle_reading("limited")
     await rig.submit(10, TASKS_PER_LONG_JOB, LONG_RUN_MS, LIMITED_TEAM)
     started = time.monotonic()
     reading = await rig.measure("limited", 1, settle_s=0)
     seconds = time.monotonic() - started
     started_tasks = await rig.count_running() - running
     figures = {**reading.figures, "starts_s": started_tasks / seconds}
-    return [rest, attrs.evolve(reading, figures=figures)]
+    return [idle_reading, attrs.evolve(reading, figures=figures)]
 
 
 async def measure_owner(
     folder: pathlib.Path, report: Report, chosen: list[str]
 ) -> None:
-    """Run the chosen series that need one entry instance."""
+    """Run the chosen series that use a single entry instance."""
     rig = await Rig.start(
         folder, zones=(ZONE,), workers_per_zone=WORKERS, backends_per_zone=2
     )
@@ -208,7 +215,7 @@
 
 
 async def measure_peers(folder: pathlib.Path, report: Report) -> None:
-    """Vary the other entry instances, one in each zone, each owning a shard."""
+    """Vary the number of peers; each zone has one instance, which owns a shard."""
     rig = await Rig.start(
         folder, zones=PEER_ZONES, workers_per_zone=1, backends_per_zone=1
     )
@@ -225,15 +232,15 @@
     report(readings)
 
 
-def _make_far_worker(number: int) -> dict[str, Any]:
+def _make_other_worker(number: int) -> dict[str, Any]:
     return {
-        "instance_id": f"{FAR_ZONE}-worker-{number + 1}",
+        "instance_id": f"{OTHER_ZONE}-worker-{number + 1}",
         "kind": "worker",
-        "zone": FAR_ZONE,
+        "zone": OTHER_ZONE,
         "host": HOST,
         "port": 9,
         "capacity": {"cpu_millis": 16_000, "memory_mib": 65_536},
-        "rack": f"{FAR_ZONE}-rack-{number // 8 + 1}",
+        "rack": f"{OTHER_ZONE}-rack-{number // 8 + 1}",
     }
 
 
@@ -256,7 +263,7 @@
 
 
 def main() -> None:
-    """Measure everything and print it."""
+    """Run the selected series and print their results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--json", action="store_true", help="print a line of JSON for each series"
@@ -269,13 +276,13 @@
     )
     arguments = parser.parse_args()
     chosen = arguments.series or [*OWNER_ORDER, PEERS]
-    of_owner = [name for name in OWNER_ORDER if name in chosen]
+    owner_series = [name for name in OWNER_ORDER if name in chosen]
     report = _print_json if arguments.json else _print_series
     started = time.monotonic()
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        if of_owner:
-            asyncio.run(measure_owner(folder / "owner", report, of_owner))
+        if owner_series:
+            asyncio.run(measure_owner(folder / "owner", report, owner_series))
         if PEERS in chosen:
             asyncio.run(measure_peers(folder / "peers", report))
     print(f"measured in {time.monotonic() - started:.0f} s", file=sys.stderr)
--- a/bench/cells.py
+++ b/bench/cells.py
@@ -1,4 +1,4 @@
-"""The two deployments and the work that their teams submit."""
+"""The two simulated deployments and the work that their teams submit."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @attrs.frozen
 class Shape:
-    """A sort of work.
+    """A type of work that a team submits.
 
     Attributes:
-        cores: Cores of each member.
+        cores: Processor cores of each member.
         gib: Memory of each member in GiB.
-        run_ms: Shortest and longest run time.
-        part: How often a team submits it, relative to its other sorts.
-        kind: The kind of work.
+        run_ms: Shortest and longest run time in ms.
+        part: Relative frequency among the types of work of a team.
+        kind: Kind of the submitted job.
         members: Number of members; more than one only for gangs.
     """
 
@@ -38,7 +38,15 @@
 
 @attrs.frozen
 class Deployment:
-    """A cell and its teams."""
+    """A cell and its teams.
+
+    Attributes:
+        name: Name on the command line and in the results.
+        capacity: Capacity of each worker.
+        teams: Teams that submit work.
+        shapes_by_team: Types of work that each team submits.
+        urgent: Type of the urgent work of all teams.
+    """
 
     name: str
     capacity: Resources
@@ -47,7 +55,7 @@
     urgent: Shape
 
     def nodes_of(self, zone: int) -> list[WorkerNode]:
-        """Return the workers of a zone, which share a rack."""
+        """Return the workers of a zone, all in the same rack."""
         return [
             WorkerNode(f"z{zone}-w{number}", f"rack-{zone}", self.capacity)
             for number in range(WORKERS_PER_ZONE)
@@ -55,7 +63,7 @@
 
     @property
     def total(self) -> Resources:
-        """The capacity of all zones."""
+        """Total capacity of all zones."""
         return self.capacity.scaled(ZONES * WORKERS_PER_ZONE, 1)
 
 
@@ -71,19 +79,19 @@
 
 
 def _shapes(unit: int, gib: int) -> dict[str, tuple[Shape, ...]]:
-    """Return the work of each team in units of cores and of memory."""
+    """Return the types of work of each team, scaled by cores and GiB of memory."""
     pack = Shape(4 * unit, 4 * gib, (8_000, 30_000), 4)
-    lean = Shape(6 * unit, 2 * gib, (5_000, 40_000), 2)
-    wide = Shape(2 * unit, 8 * gib, (10_000, 40_000), 4)
+    cpu_heavy = Shape(6 * unit, 2 * gib, (5_000, 40_000), 2)
+    memory_heavy = Shape(2 * unit, 8 * gib, (10_000, 40_000), 4)
     watch = Shape(unit, 2 * gib, (60_000, 120_000), 1, JobKind.SERVICE)
     gang = Shape(3 * unit, 3 * gib, (10_000, 20_000), 1, JobKind.GANG, 4)
     return {
         "collections": (CHECK, pack, watch),
-        "reports": (wide, CHECK, gang),
+        "reports": (memory_heavy, CHECK, gang),
         "billing": (CHECK, watch),
-        "audit": (lean, CHECK),
+        "audit": (cpu_heavy, CHECK),
         "web": (CHECK, pack, watch),
-        "lab": (gang, lean, wide),
+        "lab": (gang, cpu_heavy, memory_heavy),
     }
 
 
@@ -106,7 +114,7 @@
 
 @attrs.frozen(eq=False)
 class Work:
-    """An entry to submit and how long its members run."""
+    """A queue entry to submit and the run time of its members in ms."""
 
     entry: QueuedTask
     run_ms: int
@@ -114,26 +122,26 @@
 
 @attrs.define
 class WorkSource:
-    """Draws the work of the teams of a deployment from a seed."""
+    """Generates the work of the teams of a deployment at random."""
 
     deployment: Deployment
     randomness: Random
     _number: int = 0
 
     def draw(self, team: str, now_ms: int) -> Work:
-        """Return the next work of a team."""
+        """Return the next queue entry of a team."""
         shapes = self.deployment.shapes_by_team[team]
-        parts = [shape.part for shape in shapes]
-        shape = self.randomness.choices(shapes, parts)[0]
-        return self._work(team, shape, Priority.NORMAL, now_ms)
+        weights = [shape.part for shape in shapes]
+        shape = self.randomness.choices(shapes, weights)[0]
+        return self._make_work(team, shape, Priority.NORMAL, now_ms)
 
     def draw_urgent(self, now_ms: int) -> Work:
-        """Return urgent work of some team."""
+        """Return an urgent queue entry of a random team."""
         team = self.randomness.choice(self.deployment.teams).name
-        return self._work(team, self.deployment.urgent, Priority.URGENT, now_ms)
+        return self._make_work(team, self.deployment.urgent, Priority.URGENT, now_ms)
 
     def mean_load(self, team: str) -> float:
-        """Return the mean dominant share of the cell times milliseconds of a draw."""
+        """Return the mean load of a queue entry: dominant share of the cell × ms."""
         total = self.deployment.total
         shapes = self.deployment.shapes_by_team[team]
         weight = sum(shape.part for shape in shapes)
@@ -147,7 +155,9 @@
             for shape in shapes
         )
 
-    def _work(self, team: str, shape: Shape, priority: Priority, now_ms: int) -> Work:
+    def _make_work(
+        self, team: str, shape: Shape, priority: Priority, now_ms: int
+    ) -> Work:
         self._number += 1
         is_gang = shape.kind is JobKind.GANG
         entry = QueuedTask(
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -1,7 +1,8 @@
-"""Drives the schedulers of a cell with a manual clock.
+"""Simulates a cell: runs the schedulers of all zones with a manual clock.
 
-It stands for what surrounds the decisions and no more: tasks end after their run
-time, and stopped tasks end a little later. It models no network and no process.
+Only the inputs of the scheduling decisions are simulated: tasks end after their run
+time, and stopped tasks end after a short random delay. Networks and processes are
+not simulated.
 """
 
 from __future__ import annotations
@@ -24,14 +25,15 @@
 
 TICK_MS = 50
 BUDGET = 1_000
-# One stop in this many ignores the checkpoint and ends only with the hard stop.
-DEAF_TASKS = 20
-STOP_MS = 300
+# One in this many checkpoint requests is ignored, so that the task ends only with
+# the hard stop.
+STOPS_PER_IGNORED_CHECKPOINT = 20
+LONGEST_STOP_MS = 300
 
 
 @attrs.define(eq=False)
 class Run:
-    """A task on a worker."""
+    """A run of a task on a worker."""
 
     task: TaskId
     zone: int
@@ -43,14 +45,17 @@
 
 @attrs.define
 class Cell:
-    """The schedulers of all zones and the tasks that run under them.
+    """The schedulers of all zones and their running tasks.
 
     Attributes:
-        waits_ms: Waiting times of started entries, urgent ones apart.
+        waits_ms: Waiting times of started entries that are not urgent.
         urgent_waits_ms: Waiting times of started urgent entries.
-        ended: Resources times seconds of tasks that ended by themselves.
-        cpu_s: Processor time that the schedulers took.
+        ended: Resource seconds of the tasks that ran to completion.
+        cpu_s: Processor time that the schedulers used, in seconds.
         starts: Number of tasks started.
+        zones_out: Numbers of the zones that are out.
+        work_by_job: Submitted work by job id.
+        waiting_by_zone: Queued entries of each zone by job id.
     """
 
     deployment: Deployment
@@ -88,15 +93,15 @@
         self._submit_entry(work.entry, zone)
 
     def tick(self) -> None:
-        """Advance by one tick: ends first, then one step of each scheduler."""
+        """Advance the clock by one tick, end due tasks, then step each scheduler."""
         self.clock.advance(TICK_MS)
         now_ms = self.clock.now_ms()
         while self._events and self._events[0][0] <= now_ms:
             self._end(heapq.heappop(self._events)[2], now_ms)
         for zone, scheduler in enumerate(self.schedulers):
-            began = time.process_time()
+            began_s = time.process_time()
             decisions = scheduler.step(now_ms, BUDGET)
-            self.cpu_s += time.process_time() - began
+            self.cpu_s += time.process_time() - began_s
             for decision in decisions:
                 if isinstance(decision, StartTask):
                     self._start(decision, zone, now_ms)
@@ -108,14 +113,14 @@
         return self.schedulers[zone].queued_count_of(team)
 
     def usage_of(self, team: str) -> Resources:
-        """Return what a team uses in all zones."""
+        """Return the resources that a team uses in all zones."""
         total = Resources()
         for scheduler in self.schedulers:
             total = total + scheduler.shares.usage_of(team)
         return total
 
     def done(self) -> Resources:
-        """Return the resource seconds of work so far, without what was stopped."""
+        """Return the resource seconds of work so far, except for stopped tasks."""
         now_ms = self.clock.now_ms()
         total = self.ended
         for run in self._runs.values():
@@ -124,8 +129,8 @@
                 total = total + run.resources.scaled(elapsed_ms, 1_000)
         return total
 
-    def take_out(self, zone: int) -> None:
-        """Let nothing more start in a zone and move its queue to the others."""
+    def take_zone_out(self, zone: int) -> None:
+        """Drain the workers of a zone and move its queue to the other zones."""
         now_ms = self.clock.now_ms()
         self.zones_out.add(zone)
         scheduler = self.schedulers[zone]
@@ -134,7 +139,7 @@
         self.move_queue(zone)
 
     def move_queue(self, zone: int) -> None:
-        """Submit what waits in a zone to the zones that are in."""
+        """Distribute the queued entries of a zone to the zones that are in."""
         others = [z for z in range(ZONES) if z not in self.zones_out]
         for number, entry in enumerate(list(self.waiting_by_zone[zone].values())):
             self.schedulers[zone].cancel(entry.task)
@@ -142,21 +147,21 @@
             self._submit_entry(entry, others[number % len(others)])
 
     def stop_zone(self, zone: int) -> None:
-        """Stop what still runs in a zone, so that it can run elsewhere."""
+        """Stop and requeue the tasks that still run in a zone."""
         for run in list(self._runs.values()):
             if run.zone == zone:
                 self.schedulers[zone].stop(run.task, "zone is out", is_requeued=True)
 
-    def bring_back(self, zone: int) -> None:
-        """Let work start in a zone again."""
+    def bring_zone_back(self, zone: int) -> None:
+        """Return the workers of a zone to its scheduler."""
         self.zones_out.discard(zone)
         for node in self.deployment.nodes_of(zone):
             self.schedulers[zone].add_worker(node)
 
     def _submit_entry(self, entry: QueuedTask, zone: int) -> None:
-        began = time.process_time()
+        began_s = time.process_time()
         self.schedulers[zone].submit(entry, self.clock.now_ms())
-        self.cpu_s += time.process_time() - began
+        self.cpu_s += time.process_time() - began_s
         self.waiting_by_zone[zone][entry.task.job_id] = entry
 
     def _start(self, decision: StartTask, zone: int, now_ms: int) -> None:
@@ -170,18 +175,18 @@
         self.starts += 1
         run = Run(task, zone, now_ms, decision.resources)
         self._runs[task] = run
-        self._at(now_ms + work.run_ms, run)
+        self._schedule_end(now_ms + work.run_ms, run)
 
     def _stop(self, decision: StopTask, now_ms: int) -> None:
         run = self._runs[decision.task]
-        is_deaf = self.randomness.randrange(DEAF_TASKS) == 0
-        if decision.mode is StopMode.CHECKPOINT and is_deaf:
+        is_ignored = self.randomness.randrange(STOPS_PER_IGNORED_CHECKPOINT) == 0
+        if decision.mode is StopMode.CHECKPOINT and is_ignored:
             return
-        longest_ms = 3_000 if decision.mode is StopMode.CHECKPOINT else STOP_MS
+        longest_ms = 3_000 if decision.mode is StopMode.CHECKPOINT else LONGEST_STOP_MS
         stopped = attrs.evolve(run, ending=EndStatus.STOPPED)
         run.is_over = True
         self._runs[decision.task] = stopped
-        self._at(now_ms + self.randomness.randint(50, longest_ms), stopped)
+        self._schedule_end(now_ms + self.randomness.randint(50, longest_ms), stopped)
 
     def _end(self, run: Run, now_ms: int) -> None:
         if run.is_over:
@@ -189,9 +194,9 @@
         run.is_over = True
         del self._runs[run.task]
         scheduler = self.schedulers[run.zone]
-        began = time.process_time()
+        began_s = time.process_time()
         scheduler.task_ended(run.task, run.ending, now_ms)
-        self.cpu_s += time.process_time() - began
+        self.cpu_s += time.process_time() - began_s
         if run.ending is EndStatus.DONE:
             ran_ms = now_ms - run.started_ms
             self.ended = self.ended + run.resources.scaled(ran_ms, 1_000)
@@ -201,12 +206,12 @@
             if run.zone in self.zones_out:
                 self.move_queue(run.zone)
 
-    def _at(self, due_ms: int, run: Run) -> None:
+    def _schedule_end(self, due_ms: int, run: Run) -> None:
         heapq.heappush(self._events, (due_ms, next(self._number), run))
 
 
-def keep_backlog(cell: Cell, source: WorkSource, tasks: int) -> None:
-    """Fill the queue of each team in each zone that is in up to some tasks."""
+def refill_queues(cell: Cell, source: WorkSource, tasks: int) -> None:
+    """Fill the queue of each team in each zone that is in to a number of tasks."""
     now_ms = cell.clock.now_ms()
     for zone in range(ZONES):
         if zone in cell.zones_out:
--- a/bench/libraries.py
+++ b/bench/libraries.py
@@ -1,7 +1,7 @@
-"""Prints the memory of this process as the libraries are imported one by one.
+"""Prints the memory of this process after the import of each library.
 
-Run `python -m bench.libraries`. The difference between the last line and an
-entry instance at rest is what its own state takes.
+Run `python -m bench.libraries`. The difference between the last line and an idle
+entry instance is the memory of the state of the instance.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def main() -> None:
-    """Import each module and print the memory after it."""
+    """Import each module and print the memory after each import."""
     for name in ("", *MODULES):
         if name:
             importlib.import_module(name)
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,7 +1,8 @@
-"""Measures the scheduling decisions for the two deployments.
+"""Measures the quality and cost of scheduling decisions for the two deployments.
 
-Everything but processor time follows from the seed. Processor time is given as a
-ratio to the baseline of the same run, because the speed of machines varies.
+All results except processor time are determined by the seed. Processor time is
+given as a ratio to the baseline policies of the same run, because the speed of
+machines varies.
 """
 
 from __future__ import annotations
@@ -14,33 +15,49 @@
 import attrs
 
 from bench.cells import DEPLOYMENTS, ZONES, Deployment, WorkSource
-from bench.driver import TICK_MS, Cell, keep_backlog
+from bench.driver import TICK_MS, Cell, refill_queues
 from marjoramgrade.decisions.shares import fair_shares
 from marjoramgrade.resources import Resources
 from marjoramgrade.settings import PolicyNames
 
 SEED = 20_26
-OURS = PolicyNames()
+DEFAULT_POLICIES = PolicyNames()
 FIFO_FIRST_FIT = PolicyNames(queue_order="fifo", placement="first_fit")
 NO_PREEMPTION = PolicyNames(preemption="none")
 POLICIES = {
-    "ours": OURS,
+    "ours": DEFAULT_POLICIES,
     "fifo+first_fit": FIFO_FIRST_FIT,
     "no preemption": NO_PREEMPTION,
 }
 
-# The longest tasks run for 120 s; before that, the start of an empty cell shows.
+# The longest tasks run for 120 s; earlier results still depend on the empty cell at
+# the start.
 WARM_UP_MS = 120_000
 WINDOW_MS = 60_000
 BACKLOG = 40
 STEADY_LOAD = 0.85
 URGENT_EVERY_MS = 1_000
-OUT_MS, STOP_MS, BACK_MS = 140_000, 150_000, 200_000
+ZONE_OUT_MS, ZONE_STOP_MS, ZONE_BACK_MS = 140_000, 150_000, 200_000
 
 
 @attrs.frozen
 class Figures:
-    """What one run of one scenario gave; what it does not measure is None."""
+    """The results of one run of a scenario; None if the scenario has no such result.
+
+    Attributes:
+        scenario: Name of the scenario.
+        deployment: Name of the deployment.
+        policies: Name of the policies.
+        wait_median_ms: Median waiting time of work that is not urgent.
+        wait_p99_ms: 99th percentile of these waiting times.
+        wait_worst_ms: Longest of these waiting times.
+        urgent_worst_ms: Longest waiting time of urgent work.
+        packing: Mean used part of the scarcest resource of the cell.
+        share_distance: Largest difference between the share of a team in a window
+            and its fair share.
+        work_done: Work done as a part of the upper bound.
+        cpu_us_per_start: Processor time of the schedulers for each start in µs.
+    """
 
     scenario: str
     deployment: str
@@ -56,15 +73,15 @@
 
 
 def percentile(values: list[int], fraction: float) -> int | None:
-    """Return the value below which a fraction of the values lies."""
+    """Return the percentile of a fraction; None without values."""
     if not values:
         return None
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def mix_of(deployment: Deployment, team: str) -> Resources:
-    """Return what a team would use in proportion if it ran its mix without end."""
+def demand_of(deployment: Deployment, team: str) -> Resources:
+    """Return the resources of the mix of work of a team, in proportion."""
     total = Resources()
     for shape in deployment.shapes_by_team[team]:
         amount = Resources(1000 * shape.cores, 1024 * shape.gib)
@@ -74,23 +91,23 @@
 
 
 def fluid_shares(deployment: Deployment) -> dict[str, float]:
-    """Return the dominant shares of teams that all want more than they get.
+    """Return the fair dominant shares of teams that all demand more than they get.
 
-    Work is taken as divisible, so this is an upper bound for any placement.
+    Work is assumed to be divisible, so this is an upper bound for any placement.
     """
     weights = {team.name: team.share for team in deployment.teams}
-    demand = {name: mix_of(deployment, name) for name in weights}
+    demand = {name: demand_of(deployment, name) for name in weights}
     return fair_shares(deployment.total, weights, demand)
 
 
 def new_cell(deployment: Deployment, policies: str) -> tuple[Cell, WorkSource]:
-    """Return a cell and its work, seeded alike for all policies."""
+    """Return a cell and its work, with the same seeds for all policies."""
     cell = Cell(deployment, POLICIES[policies], Random(SEED))
     return cell, WorkSource(deployment, Random(SEED + 1))
 
 
 def run_steady(deployment: Deployment, policies: str, until_ms: int) -> Figures:
-    """Measure waiting times while work arrives at a part of the capacity."""
+    """Measure waiting times while the arriving work uses a part of the capacity."""
     cell, source = new_cell(deployment, policies)
     arrivals = Random(SEED + 2)
     rates = {
@@ -132,12 +149,12 @@
     cell, source = new_cell(deployment, policies)
     total = deployment.total
     fair = fluid_shares(deployment)
-    packed: list[float] = []
+    packings: list[float] = []
     windows: list[dict[str, float]] = []
     ticks_per_window = WINDOW_MS // TICK_MS
     while cell.clock.now_ms() < until_ms:
         now_ms = cell.clock.now_ms()
-        keep_backlog(cell, source, BACKLOG)
+        refill_queues(cell, source, BACKLOG)
         if now_ms % URGENT_EVERY_MS == 0:
             cell.submit(source.draw_urgent(now_ms), (now_ms // URGENT_EVERY_MS) % ZONES)
         cell.tick()
@@ -148,21 +165,21 @@
         use_by_team = {team: cell.usage_of(team) for team in fair}
         for team, use in use_by_team.items():
             windows[-1][team] += use.dominant_share(total) / ticks_per_window
-        packed.append(sum(use_by_team.values(), Resources()).dominant_share(total))
+        packings.append(sum(use_by_team.values(), Resources()).dominant_share(total))
     distances = [abs(each[team] - fair[team]) for each in windows for team in fair]
     return Figures(
         "full",
         deployment.name,
         policies,
-        urgent_worst_ms=_urgent_worst(cell),
-        packing=sum(packed) / len(packed),
+        urgent_worst_ms=_longest_urgent_wait_ms(cell),
+        packing=sum(packings) / len(packings),
         share_distance=max(distances),
         cpu_us_per_start=1e6 * cell.cpu_s / cell.starts,
     )
 
 
-def _urgent_worst(cell: Cell) -> int:
-    """Return the longest wait of urgent work, that which still waits included."""
+def _longest_urgent_wait_ms(cell: Cell) -> int:
+    """Return the longest wait of urgent work, including work that still waits."""
     now_ms = cell.clock.now_ms()
     waiting = [
         now_ms - entry.queued_ms
@@ -174,23 +191,23 @@
 
 
 def run_zone_move(deployment: Deployment, policies: str, until_ms: int) -> Figures:
-    """Measure the work done while a zone is taken out and returns."""
+    """Measure the work done while a zone is taken out and brought back."""
     cell, source = new_cell(deployment, policies)
     done_before = Resources()
     while cell.clock.now_ms() < until_ms:
         now_ms = cell.clock.now_ms()
         if now_ms == WARM_UP_MS:
             done_before = cell.done()
-        if now_ms == OUT_MS:
-            cell.take_out(0)
-        elif now_ms == STOP_MS:
+        if now_ms == ZONE_OUT_MS:
+            cell.take_zone_out(0)
+        elif now_ms == ZONE_STOP_MS:
             cell.stop_zone(0)
-        elif now_ms == BACK_MS:
-            cell.bring_back(0)
-        keep_backlog(cell, source, BACKLOG)
+        elif now_ms == ZONE_BACK_MS:
+            cell.bring_zone_back(0)
+        refill_queues(cell, source, BACKLOG)
         cell.tick()
-    zone_ms = ZONES * (until_ms - WARM_UP_MS) - (BACK_MS - OUT_MS)
-    # No schedule gets more out of the scarcest resource than its capacity.
+    zone_ms = ZONES * (until_ms - WARM_UP_MS) - (ZONE_BACK_MS - ZONE_OUT_MS)
+    # No schedule can use more of the scarcest resource than its capacity.
     bound = deployment.total.scaled(zone_ms, ZONES * 1_000)
     return Figures(
         "zone move",
@@ -211,7 +228,7 @@
 
 
 def measure(deployments: list[Deployment], scenarios: list[str]) -> list[Figures]:
-    """Run some scenarios for some deployments."""
+    """Run the given scenarios for the given deployments."""
     return [
         run(deployment, policies, UNTIL_MS)
         for deployment in deployments
@@ -232,7 +249,7 @@
 
 
 def rows_of(results: list[Figures]) -> list[dict[str, object]]:
-    """Return printable rows; processor time as a ratio to fifo+first_fit."""
+    """Return rows to print; processor time is a ratio to that of fifo+first_fit."""
     base_by_key = {
         (each.scenario, each.deployment): each
         for each in results
@@ -242,7 +259,7 @@
 
 
 def main() -> None:
-    """Print the figures as a table, or as JSON with `--json`.
+    """Print the results as a table, or as JSON with `--json`.
 
     Further arguments select deployments and scenarios by name.
     """
@@ -254,9 +271,9 @@
         print(json.dumps(rows, indent=1))
         return
     for row in rows:
-        head = [str(row.pop(key)) for key in ("scenario", "deployment", "policies")]
-        rest = "  ".join(f"{name}={value}" for name, value in row.items())
-        print(f"{head[0]:10} {head[1]:11} {head[2]:15} {rest}")
+        labels = [str(row.pop(key)) for key in ("scenario", "deployment", "policies")]
+        measured = "  ".join(f"{name}={value}" for name, value in row.items())
+        print(f"{labels[0]:10} {labels[1]:11} {labels[2]:15} {measured}")
 
 
 if __name__ == "__main__":
--- a/bench/probes.py
+++ b/bench/probes.py
@@ -1,8 +1,8 @@
-"""Reads what a process costs: processor time, memory and bytes per connection.
+"""Reads the processor time, memory and bytes per connection of a process.
 
-All figures come from the kernel, so that the measured process does no counting
-itself: `/proc/{pid}` for time and memory, a `sock_diag` dump for the bytes of
-each TCP connection that stays open.
+All values come from the kernel, so that the measured process needs no counters:
+`/proc/{pid}` for time and memory, a `sock_diag` dump for the bytes of each TCP
+connection that stays open.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 _HEADER = struct.Struct("=IHHII")
 _ATTRIBUTE = struct.Struct("=HH")
 _DIAG_BODY_SIZE = 72
-# Places of two counters in the kernel's tcp_info.
-_BYTES_ACKED_AT = 120
-_BYTES_RECEIVED_AT = 128
+# Offsets of two counters in the kernel's tcp_info.
+_BYTES_ACKED_OFFSET = 120
+_BYTES_RECEIVED_OFFSET = 128
 
 
 @attrs.frozen
 class Connection:
-    """An open TCP connection and the bytes that it carried."""
+    """An open TCP connection and the number of bytes sent and received."""
 
     inode: int
     local_port: int
@@ -46,10 +46,10 @@
     """Memory of a process in KiB.
 
     Attributes:
-        whole: Resident pages, shared ones too.
-        private: Pages that the process has written. Pages of a library that no
-            other process happens to map are left out: the kernel calls them
-            private too, which changed readings by 7 MiB from one to the next.
+        whole: Resident pages, including shared pages.
+        private: Pages that the process has written. Unmodified library pages
+            that no other process maps are excluded: the kernel counts them as
+            private too, which made successive readings differ by 7 MiB.
     """
 
     whole: int
@@ -65,7 +65,7 @@
 
 
 def memory(pid: int) -> Memory:
-    """Return the memory of a process as the kernel adds it up."""
+    """Return the memory of a process from the kernel's totals."""
     kib: Counter[str] = Counter()
     for line in pathlib.Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()[1:]:
         name, value = line.split(":")
@@ -86,14 +86,14 @@
     after: dict[int, Connection],
     kind_of: Callable[[Connection], str],
 ) -> Counter[str]:
-    """Return the bytes, both ways, that flowed between two readings.
+    """Return the bytes sent and received between two readings, by kind.
 
-    A connection that opened and closed between the readings is not counted.
+    A connection that was opened and closed between the readings is not counted.
     """
     total: Counter[str] = Counter()
     for inode, now in after.items():
-        then = before.get(inode)
-        known = then.sent + then.received if then is not None else 0
+        previous = before.get(inode)
+        known = previous.sent + previous.received if previous is not None else 0
         total[kind_of(now)] += now.sent + now.received - known
     return total
 
@@ -141,12 +141,12 @@
     local_port, remote_port = struct.unpack_from(">HH", body, 4)
     (inode,) = struct.unpack_from("=I", body, 68)
     sent = received = 0
-    at = _DIAG_BODY_SIZE
-    while at + _ATTRIBUTE.size <= len(body):
-        length, kind = _ATTRIBUTE.unpack_from(body, at)
+    offset = _DIAG_BODY_SIZE
+    while offset + _ATTRIBUTE.size <= len(body):
+        length, kind = _ATTRIBUTE.unpack_from(body, offset)
         if kind == _INET_DIAG_INFO:
-            info = body[at + _ATTRIBUTE.size : at + length]
-            (sent,) = struct.unpack_from("=Q", info, _BYTES_ACKED_AT)
-            (received,) = struct.unpack_from("=Q", info, _BYTES_RECEIVED_AT)
-        at += (length + 3) & ~3
+            info = body[offset + _ATTRIBUTE.size : offset + length]
+            (sent,) = struct.unpack_from("=Q", info, _BYTES_ACKED_OFFSET)
+            (received,) = struct.unpack_from("=Q", info, _BYTES_RECEIVED_OFFSET)
+        offset += (length + 3) & ~3
     return Connection(inode, local_port, remote_port, sent, received)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,7 +1,7 @@
 """A relay between entry instances and the platform that counts bytes.
 
-The platform connections of an entry instance are short, one for each request,
-so the kernel's counters are gone before they can be read.
+An entry instance opens a short connection to the platform for each request, so
+the kernel's counters of the connection disappear before they can be read.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 @attrs.define
 class Relay:
-    """Passes connections on to the platform and counts them.
+    """Forwards connections to the platform and counts them and their bytes.
 
     Attributes:
-        host: IP number of both sides.
+        host: IP address of the relay and of the platform.
         platform_port: Port of the platform.
-        port: Port that it listens on.
-        bytes_by_kind: Bytes both ways by (instance, kind of request).
+        port: Port that the relay listens on; 0 before the start.
+        bytes_by_kind: Bytes sent and received by (instance, kind of request).
         requests_by_kind: Connections by (instance, kind of request).
     """
 
@@ -57,8 +57,8 @@
             upstream = await asyncio.open_connection(self.host, self.platform_port)
             upstream[1].write(head)
             await asyncio.gather(
-                self._copy(reader, upstream[1], kind),
-                self._copy(upstream[0], writer, kind),
+                self._forward(reader, upstream[1], kind),
+                self._forward(upstream[0], writer, kind),
             )
         except (OSError, asyncio.CancelledError):
             # The instance or the measurement has ended.
@@ -66,7 +66,7 @@
         finally:
             writer.close()
 
-    async def _copy(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -82,7 +82,7 @@
 
 
 def classify(head: bytes) -> tuple[str, str]:
-    """Return the instance that sent a request and what it asks for."""
+    """Return the instance that sent a request and the kind of the request."""
     found = _INSTANCE.search(head)
     instance = found.group(1).decode() if found else ""
     path = head.split(b" ", 2)[1] if head.count(b" ") > 1 else b""
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,4 +1,4 @@
-"""A cell for capacity measurements: its shape changes while it runs."""
+"""A cell for capacity measurements, whose size and load change while it runs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 SETTLE_S = 2.0
 WINDOW_S = 4.0
-# Enough submissions at once to fill the journal's transactions.
+# Enough concurrent submissions to fill the journal's transactions.
 SUBMITTERS = 50
 TEAM = "team-0"
 LIMITED_TEAM = "team-1"
@@ -32,12 +32,12 @@
 
 @attrs.frozen
 class Reading:
-    """What one entry instance cost during one window.
+    """The resource use of one entry instance during one window.
 
     Attributes:
-        series: What was varied.
-        amount: How much of it there was.
-        figures: Measured values by name; rates are for each second.
+        series: Name of the series, which says what was varied.
+        amount: Value of the varied amount.
+        figures: Measured values by name; rates are per second.
     """
 
     series: str
@@ -60,12 +60,12 @@
     """A cell, the relay in front of its platform, and its load.
 
     Attributes:
-        cell: The cell; entry instances are started by the series.
-        relay: Counts what flows between entry instances and the platform.
-        listed: Instances that the platform lists now.
-        secret_by_team: Secret of each team's key.
-        jobs: Jobs and requests sent so far.
-        rest: The last reading without load.
+        cell: The cell; the series start its entry instances.
+        relay: Counts the bytes between entry instances and the platform.
+        listed: Instances that the platform lists currently.
+        secret_by_team: Secret of the key of each team.
+        jobs: Number of jobs and requests sent so far.
+        idle_reading: The latest reading without load.
     """
 
     cell: Cell
@@ -73,7 +73,7 @@
     listed: list[dict[str, Any]] = attrs.field(factory=list)
     secret_by_team: dict[str, str] = attrs.field(factory=dict)
     jobs: int = 0
-    rest: Reading | None = None
+    idle_reading: Reading | None = None
 
     @classmethod
     async def start(cls, folder: pathlib.Path, **shape: Any) -> Rig:
@@ -92,19 +92,19 @@
         self.cell.stop()
 
     async def start_entry(self, zone: str) -> None:
-        """Start one more entry instance and wait until it answers."""
+        """Start another entry instance and wait until it responds."""
         number = len(self.cell.entry_by_id) + 1
         plan = self.cell.plan_entry(zone, f"{zone}-entry-{number}")
         self.cell.start_entry(plan)
         await self.cell.wait_ready(plan)
 
     async def list_instances(self, instances: list[dict[str, Any]]) -> None:
-        """Let the platform list these instances."""
+        """Set the list of instances that the platform publishes."""
         self.listed = instances
         await self.cell.control_platform(instances=instances)
 
     async def declare_teams(self, first: int, after: int) -> None:
-        """Declare teams with a key each and, but for the first one, a limit."""
+        """Declare teams, each with a key and all but team 0 with a limit."""
         url = self._url()
         limit = {"cpu_millis": 1_000_000, "memory_mib": 1_000_000}
         for number in range(first, after):
@@ -127,13 +127,13 @@
         """Submit jobs as fast as the entry instance accepts them."""
         waiting = iter(range(count))
 
-        async def submit_in_turn() -> None:
+        async def submit_remaining() -> None:
             for _ in waiting:
-                await self.submit_one(tasks, run_ms, team)
+                await self.submit_job(tasks, run_ms, team)
 
-        await asyncio.gather(*(submit_in_turn() for _ in range(SUBMITTERS)))
+        await asyncio.gather(*(submit_remaining() for _ in range(SUBMITTERS)))
 
-    async def submit_one(self, tasks: int, run_ms: int, team: str = TEAM) -> None:
+    async def submit_job(self, tasks: int, run_ms: int, team: str = TEAM) -> None:
         """Submit one job."""
         self.jobs += 1
         spec = {
@@ -151,9 +151,9 @@
             secret=self.secret_by_team[team],
         )
         if answer.code not in (200, 201):
-            raise RuntimeError(f"job refused: {answer.code} {answer.body!r}")
+            raise RuntimeError(f"job submission failed: {answer.code} {answer.body!r}")
 
-    async def request_one(self) -> None:
+    async def send_request(self) -> None:
         """Send one idempotent request that takes 5 ms at its backend server."""
         self.jobs += 1
         answer = await self.cell.fetch(
@@ -168,10 +168,10 @@
             },
         )
         if answer.code != 200:
-            raise RuntimeError(f"request refused: {answer.code} {answer.body!r}")
+            raise RuntimeError(f"request failed: {answer.code} {answer.body!r}")
 
     async def wait_for_running(self, count: int) -> None:
-        """Wait until the workers run this many tasks."""
+        """Wait until the workers run exactly this number of tasks."""
 
         async def is_running() -> bool:
             return await self.count_running() == count
@@ -179,7 +179,7 @@
         await self.cell.wait_until(is_running)
 
     async def count_running(self) -> int:
-        """Return how many tasks the workers run."""
+        """Return the number of tasks that the workers run."""
         counters = await self.cell.counters("worker")
         return sum(len(worker["running"]) for worker in counters.values())
 
@@ -194,11 +194,11 @@
         """Measure the first entry instance for one window.
 
         Args:
-            series: What is varied.
-            amount: How much of it there is.
-            send: Sends one item of load.
-            per_second: Items a second.
-            settle_s: Time between the change and the window.
+            series: Name of the series.
+            amount: Value of the varied amount.
+            send: Sends one item of load, which is a job or a request.
+            per_second: Number of items to send per second.
+            settle_s: Time between the change and the window, in seconds.
         """
         load = asyncio.create_task(_send_steadily(send, per_second))
         try:
@@ -216,23 +216,23 @@
                 raise RuntimeError(f"{process.name} ended: see {process.log}")
         reading = Reading(series, amount, self._figures(before, after))
         if send is None:
-            self.rest = reading
+            self.idle_reading = reading
         return reading
 
-    def repeat_rest(self, series: str) -> Reading:
-        """Return the last reading without load as the zero of a series."""
-        assert self.rest is not None
-        return Reading(series, 0, self.rest.figures)
+    def repeat_idle_reading(self, series: str) -> Reading:
+        """Return the latest reading without load as amount 0 of a series."""
+        assert self.idle_reading is not None
+        return Reading(series, 0, self.idle_reading.figures)
 
     def _url(self) -> str:
         return next(iter(self.cell.entry_by_id.values())).url
 
-    def _first(self) -> tuple[str, int]:
+    def _first_entry(self) -> tuple[str, int]:
         name = next(iter(self.cell.entry_by_id))
         return name, self.cell.process_by_name[name].popen.pid
 
     async def _sample(self) -> _Sample:
-        _, pid = self._first()
+        _, pid = self._first_entry()
         control = await self.cell.fetch_json(f"{self.cell.platform_url}/control")
         return _Sample(
             time.monotonic(),
@@ -252,7 +252,7 @@
         return "worker" if connection.remote_port in worker_ports else "other"
 
     def _figures(self, before: _Sample, after: _Sample) -> dict[str, float]:
-        name, pid = self._first()
+        name, pid = self._first_entry()
         seconds = after.at_s - before.at_s
         cpu_ms = after.processor_ms - before.processor_ms
         figures = {"cpu_percent": cpu_ms / seconds / 10}
@@ -263,15 +263,19 @@
             figures[f"{kind}_bytes_s"] = flows[kind] / seconds
         platform_bytes = after.platform_bytes - before.platform_bytes
         requests = after.platform_requests - before.platform_requests
-        own_bytes = {k: v for (who, k), v in platform_bytes.items() if who == name}
-        own_requests = {k: v for (who, k), v in requests.items() if who == name}
+        own_bytes = {
+            k: v for (instance, k), v in platform_bytes.items() if instance == name
+        }
+        own_requests = {
+            k: v for (instance, k), v in requests.items() if instance == name
+        }
         figures["platform_bytes_s"] = sum(own_bytes.values()) / seconds
         figures["platform_requests_s"] = sum(own_requests.values()) / seconds
         for kind, value in sorted(own_bytes.items()):
             figures[f"platform_{kind}_bytes_s"] = value / seconds
         for kind, value in sorted(own_requests.items()):
             figures[f"platform_{kind}_requests_s"] = value / seconds
-            # A read once a second falls three or four times into a window.
+            # A window contains three or four reads that occur once a second.
             figures[f"platform_{kind}_bytes_each"] = own_bytes[kind] / value
         for key in ("transactions", "rows_written", "reads"):
             figures[f"table_{key}_s"] = (
@@ -281,7 +285,7 @@
 
 
 async def _send_steadily(send: Send | None, per_second: float) -> None:
-    """Send items at a steady rate; a failed item ends the load."""
+    """Send items at a constant rate; the first failure ends the load."""
     if send is None:
         return
     started = time.monotonic()
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,7 +1,7 @@
-"""Measures the scheduler at the size that the design page plans for.
+"""Measures the scheduler at the size that the design page specifies.
 
-The times are processor times of one run. The plain scan is timed in the same run,
-with the same work, by a second scheduler that differs only in its placement.
+All times are processor times of one run. The linear scan is timed in the same run
+with the same work, by a second scheduler that differs only in its placement policy.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 SEED = 7
 WORKERS = 2_000
-TURNS = 10
+ROUNDS = 10
 TASKS_PER_WORKER = 6.5
 TEAMS = 61
 QUEUED = 20_000
@@ -46,12 +46,13 @@
 
 @attrs.define
 class Load:
-    """One scheduler under load.
+    """A scheduler under load.
 
     Attributes:
-        scheduler: The scheduler.
-        randomness: Source of the work.
+        scheduler: The measured scheduler.
+        randomness: Random generator for the work.
         running: Started tasks, oldest first.
+        now_ms: Simulated time; advances by 1 ms with each step.
     """
 
     scheduler: Scheduler
@@ -62,7 +63,7 @@
 
     @classmethod
     def from_size(cls, workers: int, placement: str) -> Load:
-        """Return a scheduler with workers, and with 6.5 tasks on each."""
+        """Return a scheduler whose workers run 6.5 tasks each."""
         policies = {kind: PolicyNames(placement=placement) for kind in JobKind}
         load = cls(Scheduler.from_config(policies), Random(SEED))
         load.scheduler.set_teams([Team(f"t-{n}", 1 + n % 5) for n in range(TEAMS)])
@@ -75,7 +76,7 @@
         return load
 
     def fill(self, tasks: int) -> None:
-        """Start tasks until so many run or no more fit."""
+        """Start tasks until the given number runs or no more fit."""
         while len(self.running) < tasks:
             for _ in range(min(1_000, tasks - len(self.running))):
                 self.submit()
@@ -100,79 +101,81 @@
         return entry.task
 
     def step(self, budget: int) -> int:
-        """Take one step and return the number of starts."""
+        """Run one scheduler step and return the number of starts."""
         self.now_ms += 1
         decisions = self.scheduler.step(self.now_ms, budget)
         started = [d.task for d in decisions if isinstance(d, StartTask)]
         self.running.extend(started)
         return len(started)
 
-    def end_some(self, tasks: int) -> None:
-        """Let some running tasks end."""
+    def end_tasks(self, tasks: int) -> None:
+        """End a number of running tasks."""
         for _ in range(tasks):
             self.running.rotate(-self.randomness.randrange(50))
             task = self.running.popleft()
             self.scheduler.task_ended(task, EndStatus.DONE, self.now_ms)
 
     def time_decisions(self, count: int) -> list[float]:
-        """Return the seconds of steps that each follow one end and one arrival."""
+        """Return the seconds of steps that each follow an end and an arrival."""
         seconds = []
         for _ in range(count):
-            self.end_some(1)
+            self.end_tasks(1)
             self.submit()
-            began = time.process_time()
+            began_s = time.process_time()
             self.step(1)
-            seconds.append(time.process_time() - began)
+            seconds.append(time.process_time() - began_s)
         return seconds
 
     def time_cycles(self, ticks: int, per_tick: int) -> float:
-        """Return the starts per second of whole cycles: arrival, start and end."""
+        """Return the starts per second of complete cycles: end, arrival and start."""
         starts = 0
-        began = time.process_time()
+        began_s = time.process_time()
         for _ in range(ticks):
-            self.end_some(per_tick)
+            self.end_tasks(per_tick)
             for _ in range(per_tick):
                 self.submit()
             starts += self.step(2 * per_tick)
-        return starts / (time.process_time() - began)
+        return starts / (time.process_time() - began_s)
 
 
 def p99_of(seconds: list[float]) -> float:
-    """Return the 99th percentile."""
+    """Return the 99th percentile of some times."""
     return sorted(seconds)[int(0.99 * len(seconds))]
 
 
 def mean_of(seconds: list[float]) -> float:
-    """Return the mean."""
+    """Return the mean of some times."""
     return sum(seconds) / len(seconds)
 
 
 def measure_latency(count: int = 2_000) -> dict[str, float]:
-    """Return the latency, its ratio to the plain scan, and its growth.
+    """Return the latency, its ratio to the linear scan, and its growth.
 
-    Other work on the machine only adds to a time, and to some turns more than to
-    others. So ratios are taken within a turn, and their median over the turns; the
-    99th percentile is of the best half of the turns, and the rate the best of three.
+    Other work on the machine only increases a time, in some rounds more than in
+    others. So each ratio is computed within a round and reported as the median over
+    the rounds; the 99th percentile is that of the fastest half of the rounds, and
+    the rate is the best of three.
     """
     large = Load.from_size(WORKERS, "best_fit")
     running = len(large.running)
     small = Load.from_size(WORKERS // 10, "best_fit")
     scan = Load.from_size(WORKERS, "first_fit")
-    # In turns, so that a change of the machine's speed meets all three alike.
-    turns, means, scan_ratios, growths = [], [], [], []
-    for _ in range(TURNS):
-        of_large = large.time_decisions(count // TURNS)
-        of_small = small.time_decisions(count // TURNS)
-        of_scan = scan.time_decisions(count // TURNS)
-        turns.append(of_large)
-        means.append(mean_of(of_large))
-        scan_ratios.append(mean_of(of_scan) / mean_of(of_large))
-        growths.append(mean_of(of_large) / mean_of(of_small))
-    quiet = sorted(turns, key=mean_of)[: TURNS // 2]
-    best = [seconds for turn in quiet for seconds in turn]
+    # The schedulers alternate, so that a change of the machine's speed affects all
+    # three equally.
+    rounds, means, scan_ratios, growths = [], [], [], []
+    for _ in range(ROUNDS):
+        large_seconds = large.time_decisions(count // ROUNDS)
+        small_seconds = small.time_decisions(count // ROUNDS)
+        scan_seconds = scan.time_decisions(count // ROUNDS)
+        rounds.append(large_seconds)
+        means.append(mean_of(large_seconds))
+        scan_ratios.append(mean_of(scan_seconds) / mean_of(large_seconds))
+        growths.append(mean_of(large_seconds) / mean_of(small_seconds))
+    fastest_rounds = sorted(rounds, key=mean_of)[: ROUNDS // 2]
+    fastest_seconds = [seconds for times in fastest_rounds for seconds in times]
     return {
         "running_tasks": running,
-        "decision_p99_ms": 1e3 * p99_of(best),
+        "decision_p99_ms": 1e3 * p99_of(fastest_seconds),
         "decision_mean_ms": 1e3 * statistics.median(means),
         "scan_to_index": statistics.median(scan_ratios),
         "growth_200_to_2000": statistics.median(growths),
@@ -181,7 +184,7 @@
 
 
 def measure_full() -> dict[str, float]:
-    """Return the length of a step while nothing fits and every team waits."""
+    """Return the duration of a step while no task fits and every team waits."""
     load = Load.from_size(WORKERS, "best_fit")
     for _ in range(QUEUED):
         load.submit()
@@ -189,10 +192,10 @@
         load.step(1_000)
     seconds = []
     for _ in range(100):
-        load.end_some(1)
-        began = time.process_time()
+        load.end_tasks(1)
+        began_s = time.process_time()
         load.step(1_000)
-        seconds.append(time.process_time() - began)
+        seconds.append(time.process_time() - began_s)
     return {
         "full_running": len(load.running),
         "full_step_p99_ms": 1e3 * p99_of(seconds),
@@ -200,22 +203,22 @@
 
 
 def measure_cancel() -> dict[str, float]:
-    """Return what cancelling a task costs, relative to placing one."""
+    """Return the time to cancel a task relative to the time to place a task."""
     load = Load.from_size(WORKERS, "best_fit")
     queued = [load.submit() for _ in range(QUEUED)]
     chosen = queued[::10]
-    began = time.process_time()
+    began_s = time.process_time()
     for task in chosen:
         load.scheduler.cancel(task)
-    cancel_s = (time.process_time() - began) / len(chosen)
+    cancel_s = (time.process_time() - began_s) / len(chosen)
     place_s = mean_of(load.time_decisions(1_000))
     return {"cancel_to_place": cancel_s / place_s}
 
 
 def measure_memory() -> dict[str, float]:
-    """Return the memory of 1,000 queued and running tasks, workers and teams."""
+    """Return the memory of 1,000 workers, teams, queued and running tasks each."""
 
-    def kib_of(change: Callable[[], object]) -> float:
+    def measure_kib(change: Callable[[], object]) -> float:
         before = tracemalloc.get_traced_memory()[0]
         change()
         return (tracemalloc.get_traced_memory()[0] - before) / 1024
@@ -225,12 +228,12 @@
     number = len(load.scheduler.pool)
 
     def add_workers() -> None:
-        for each in range(number, number + 1_000):
+        for index in range(number, number + 1_000):
             capacity = Resources(64_000, 128 * 1024)
-            load.scheduler.add_worker(WorkerNode(f"w-{each}", "r", capacity))
+            load.scheduler.add_worker(WorkerNode(f"w-{index}", "r", capacity))
 
     def add_teams() -> None:
-        load.scheduler.set_teams([Team(f"t-{each}") for each in range(1_000 + TEAMS)])
+        load.scheduler.set_teams([Team(f"t-{index}") for index in range(1_000 + TEAMS)])
 
     def queue_tasks() -> None:
         for _ in range(1_000):
@@ -241,23 +244,23 @@
         load.step(2_000)
 
     figures = {
-        "kib_per_1000_workers": kib_of(add_workers),
-        "kib_per_1000_teams": kib_of(add_teams),
-        "kib_per_1000_queued": kib_of(queue_tasks),
+        "kib_per_1000_workers": measure_kib(add_workers),
+        "kib_per_1000_teams": measure_kib(add_teams),
+        "kib_per_1000_queued": measure_kib(queue_tasks),
     }
     load.step(2_000)
-    figures["kib_per_1000_running"] = kib_of(run_tasks)
+    figures["kib_per_1000_running"] = measure_kib(run_tasks)
     tracemalloc.stop()
     return figures
 
 
 def measure() -> dict[str, float]:
-    """Return all figures."""
+    """Return the results of all measurements."""
     return measure_latency() | measure_full() | measure_cancel() | measure_memory()
 
 
 def main() -> None:
-    """Print the figures, as JSON with `--json`."""
+    """Print the results, as JSON with `--json`."""
     figures = {name: round(value, 4) for name, value in measure().items()}
     if "--json" in sys.argv:
         print(json.dumps(figures, indent=1))
