--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,7 +1,7 @@
-"""Starts a small cell of separate processes and shows it at work (`make demo`).
+"""Starts a small cell of separate processes and demonstrates it (`make demo`).
 
-The cell has the zones and teams of `deploy/ledgerwell.json`. Every wait is
-bounded; the last line says whether all steps passed, as the exit status does.
+The cell has the zones and teams of `deploy/ledgerwell.json`. Every wait has a
+timeout; the last line and the exit status report whether all steps passed.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 from marjoramgrade.model import JobKind, JobSpec, Zone, ZoneState
 from marjoramgrade.resourcekinds import KEYS, ZONES
 from marjoramgrade.resources import Resources
-from scripts.demoboard import AwaitJob, JobBoard, JobTest, describe_tasks
+from scripts.demoboard import AwaitJob, JobTest, JobTracker, describe_tasks
 from standins.cell import OPERATOR_SECRET, Cell
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DEPLOYMENT = ROOT / "deploy" / "ledgerwell.json"
 # The whole demo ends within a minute, including the shutdown.
-LIMIT_S = 50.0
-STEP_LIMIT_S = 20.0
-SHUTDOWN_LIMIT_S = 5.0
-# The design page promises that a configuration is in force everywhere by then.
-IN_FORCE_S = 8.0
+TIMEOUT_S = 50.0
+STEP_TIMEOUT_S = 20.0
+SHUTDOWN_TIMEOUT_S = 5.0
+# Time within which a configuration is in force in every zone, by the design page.
+IN_FORCE_TIMEOUT_S = 8.0
 POLL_S = 0.2
 BATCH = JobSpec(
     "tyneside-housing",
@@ -57,27 +57,27 @@
 
 
 class StepFailedError(Exception):
-    """A step did not show what it should."""
+    """A step did not have the expected result."""
 
 
 @attrs.define
 class Demo:
-    """What the steps share.
+    """The state that the steps share.
 
     Attributes:
-        deployment: The cell that is shown.
-        cell: Its processes.
+        deployment: Zones, teams and services of the cell.
+        cell: The processes of the cell.
         operator: Client with the operators' key.
-        secret_by_team: Secrets of the teams' keys.
-        board: Follows the watch.
-        started_s: When the demo started.
+        secret_by_team: Secret of the key of each team.
+        tracker: Follows the watch and tracks the jobs.
+        started_s: Monotonic time of the start of the demo.
     """
 
     deployment: Deployment
     cell: Cell
     operator: Client
     secret_by_team: dict[str, str]
-    board: JobBoard
+    tracker: JobTracker
     started_s: float
 
     def show(self, line: str) -> None:
@@ -85,7 +85,7 @@
         show(self.started_s, line)
 
     @contextlib.asynccontextmanager
-    async def acting_for(self, team: str) -> AsyncIterator[Client]:
+    async def open_team_client(self, team: str) -> AsyncIterator[Client]:
         """Open a client with the key of a team."""
         url = self.cell.running_entries()[0].url
         async with Client.from_url(url, self.secret_by_team[team]) as client:
@@ -93,54 +93,54 @@
 
     async def submit(self, job_id: str, spec: JobSpec) -> None:
         """Submit a job with the key of its team."""
-        async with self.acting_for(spec.team) as client:
+        async with self.open_team_client(spec.team) as client:
             job = await client.submit(spec, job_id)
         self.show(f"accepted: {spec.kind.value} job {job_id} of {spec.team}")
-        self.show(f"  its home is shard {job.shard}")
+        self.show(f"  it is assigned to shard {job.shard}")
 
-    async def wait_job(
-        self, job_id: str, wanted: str, is_reached: JobTest, limit_s: float
+    async def wait_for_job(
+        self, job_id: str, goal: str, is_reached: JobTest, timeout_s: float
     ) -> Document:
-        """Wait until the watch shows what is wanted of a job.
+        """Wait until the watch shows a job in a state that passes a test.
 
         Raises:
-            StepFailedError: If it does not in time.
+            StepFailedError: If the job does not reach the state in time.
         """
         try:
             return await asyncio.wait_for(
-                self.board.ask(AwaitJob(job_id, is_reached)), limit_s
+                self.tracker.ask(AwaitJob(job_id, is_reached)), timeout_s
             )
         except TimeoutError:
             tasks = describe_tasks(await self.operator.list_tasks(job_id))
             raise StepFailedError(
-                f"job {job_id} was not {wanted} within {limit_s:.0f} s; tasks: {tasks}"
+                f"job {job_id} was not {goal} within {timeout_s:.0f} s; tasks: {tasks}"
             ) from None
 
     async def wait_for(
-        self, wanted: str, is_reached: Callable[[], Awaitable[bool]], limit_s: float
+        self, goal: str, is_reached: Callable[[], Awaitable[bool]], timeout_s: float
     ) -> None:
-        """Poll until something is reached.
+        """Poll until a condition is met.
 
         Raises:
-            StepFailedError: If it is not in time.
+            StepFailedError: If the condition is not met in time.
         """
-        until_s = time.monotonic() + limit_s
+        deadline_s = time.monotonic() + timeout_s
         while not await is_reached():
-            if time.monotonic() > until_s:
-                raise StepFailedError(f"{wanted}: not within {limit_s:.0f} s")
+            if time.monotonic() > deadline_s:
+                raise StepFailedError(f"{goal}: not within {timeout_s:.0f} s")
             await asyncio.sleep(POLL_S)
 
-    async def wait_tasks(
-        self, job_id: str, wanted: str, is_reached: Callable[[Document], bool]
+    async def wait_for_tasks(
+        self, job_id: str, goal: str, is_reached: Callable[[Document], bool]
     ) -> tuple[Document, ...]:
-        """Wait until every task of a job passes a test; print changes of the list.
+        """Wait until every task of a job passes a test; print changes meanwhile.
 
         Raises:
-            StepFailedError: If a task does not in time.
+            StepFailedError: If a task does not pass the test in time.
         """
         latest: tuple[Document, ...] = ()
 
-        async def is_true_of_all() -> bool:
+        async def is_reached_by_all() -> bool:
             nonlocal latest
             before, latest = latest, await self.operator.list_tasks(job_id)
             line = describe_tasks(latest)
@@ -148,11 +148,13 @@
                 self.show(f"tasks of {job_id}: {line}")
             return bool(latest) and all(is_reached(task) for task in latest)
 
-        await self.wait_for(f"tasks of {job_id} {wanted}", is_true_of_all, STEP_LIMIT_S)
+        await self.wait_for(
+            f"tasks of {job_id} {goal}", is_reached_by_all, STEP_TIMEOUT_S
+        )
         return latest
 
-    async def wait_in_force(self, version: int) -> None:
-        """Wait until every zone confirmed a version of the configuration."""
+    async def wait_for_version(self, version: int) -> None:
+        """Wait until every zone has confirmed a version of the configuration."""
         confirmed: set[str] = set()
 
         async def is_in_force() -> bool:
@@ -163,7 +165,9 @@
                     self.show(f"version {version} is in force in {zone}")
             return confirmed >= set(self.cell.zones)
 
-        await self.wait_for(f"version {version} in force", is_in_force, IN_FORCE_S)
+        await self.wait_for(
+            f"version {version} in force", is_in_force, IN_FORCE_TIMEOUT_S
+        )
 
 
 Step = Callable[[Demo], Awaitable[None]]
@@ -171,7 +175,7 @@
 
 
 def step(title: str) -> Callable[[Step], Step]:
-    """Return a decorator that adds a step; the steps run in this order."""
+    """Return a decorator that registers a step; steps run in this order."""
 
     def add(function: Step) -> Step:
         _step_by_title[title] = function
@@ -190,52 +194,54 @@
 
 @step("a quick request")
 async def run_request(demo: Demo) -> None:
-    """Answer a request through an entry instance and a backend server."""
+    """Send a request through an entry instance to a backend server."""
     service = demo.deployment.services[0].name
-    async with demo.acting_for("pennine-hospices") as client:
+    async with demo.open_team_client("pennine-hospices") as client:
         answer = await client.run(service, b'{"work_ms": 20}')
     demo.show(f"{service} answered {answer.decode()}")
     if answer != b'{"work_ms": 20}':
-        raise StepFailedError("the answer belongs to another request")
+        raise StepFailedError("the response belongs to another request")
 
 
 @step("a batch job and a gang")
 async def run_jobs(demo: Demo) -> None:
-    """Run more tasks than fit at once, and tasks that start together."""
+    """Run a job with more tasks than fit at once, and a gang of tasks."""
     await demo.submit("report-pack", BATCH)
     await demo.submit("yearly-reconciliation", GANG)
-    await demo.wait_tasks("report-pack", "done", lambda task: task["state"] == "done")
-    await demo.wait_job("report-pack", "done", _is_done, STEP_LIMIT_S)
-    await demo.wait_job("yearly-reconciliation", "done", _is_done, STEP_LIMIT_S)
+    await demo.wait_for_tasks(
+        "report-pack", "done", lambda task: task["state"] == "done"
+    )
+    await demo.wait_for_job("report-pack", "done", _is_done, STEP_TIMEOUT_S)
+    await demo.wait_for_job("yearly-reconciliation", "done", _is_done, STEP_TIMEOUT_S)
 
 
 @step("a standing watch")
 async def run_service(demo: Demo) -> None:
     """Start a service, which runs until it is cancelled."""
     await demo.submit("donations-watch", WATCH)
-    await demo.wait_tasks("donations-watch", "running", _is_running)
+    await demo.wait_for_tasks("donations-watch", "running", _is_running)
 
 
 async def _set_zone(demo: Demo, name: str, state: ZoneState) -> None:
     found = await demo.operator.get(ZONES, name)
     version = await demo.operator.put(ZONES, Zone(name, state), found.version)
     demo.show(f"version {version} takes zone {name} {state.value}")
-    await demo.wait_in_force(version)
+    await demo.wait_for_version(version)
 
 
 @step("take a zone out and bring it back")
 async def move_zone(demo: Demo) -> None:
-    """Take out the zone of the service and see its tasks run elsewhere."""
+    """Take out the zone of the service and check that its tasks move."""
     shard = (await demo.operator.get_job("donations-watch")).shard
     zone = shard.partition(".")[0]
     await _set_zone(demo, zone, ZoneState.OUT)
-    await demo.wait_job(
+    await demo.wait_for_job(
         "donations-watch",
         f"moved from {zone}",
         lambda document: document["shard"] != shard,
-        STEP_LIMIT_S,
+        STEP_TIMEOUT_S,
     )
-    tasks = await demo.wait_tasks("donations-watch", "running", _is_running)
+    tasks = await demo.wait_for_tasks("donations-watch", "running", _is_running)
     if any(task["worker"].startswith(f"{zone}-") for task in tasks):
         raise StepFailedError(f"a task still runs in {zone}")
     await _set_zone(demo, zone, ZoneState.IN)
@@ -243,29 +249,29 @@
 
 @step("cancel the standing watch")
 async def cancel_service(demo: Demo) -> None:
-    """Cancel a job whose tasks run, and see that the workers are free."""
+    """Cancel a job with running tasks and check that the workers become free."""
     await demo.operator.cancel_job("donations-watch")
-    await demo.wait_job(
+    await demo.wait_for_job(
         "donations-watch",
         "cancelled",
         lambda document: document["state"] == "cancelled",
-        STEP_LIMIT_S,
+        STEP_TIMEOUT_S,
     )
 
     async def is_idle() -> bool:
         workers = await demo.cell.counters("worker")
         return not any(counters["running"] for counters in workers.values())
 
-    await demo.wait_for("idle workers", is_idle, STEP_LIMIT_S)
+    await demo.wait_for("idle workers", is_idle, STEP_TIMEOUT_S)
     demo.show("no worker runs a task")
 
 
 @step("withdraw a key")
 async def withdraw_key(demo: Demo) -> None:
-    """Withdraw a team's key and see its work refused."""
+    """Withdraw a team's key and check that its work is refused."""
     version = await demo.operator.delete(KEYS, f"{BATCH.team}-key")
-    await demo.wait_in_force(version)
-    async with demo.acting_for(BATCH.team) as client:
+    await demo.wait_for_version(version)
+    async with demo.open_team_client(BATCH.team) as client:
         try:
             await client.submit(BATCH, "report-pack-2")
         except RefusedError as error:
@@ -283,7 +289,7 @@
 
 @contextlib.asynccontextmanager
 async def open_demo(folder: pathlib.Path, started_s: float) -> AsyncIterator[Demo]:
-    """Start a cell, declare its teams and keys, and follow its changes."""
+    """Start a cell, declare its teams and keys, and follow its watch."""
     deployment = read_deployment(DEPLOYMENT)
     zones = tuple(zone.name for zone in deployment.zones)
     service = deployment.services[0].name
@@ -299,22 +305,23 @@
         operator = await stack.enter_async_context(
             Client.from_url(url, OPERATOR_SECRET)
         )
-        board = JobBoard(operator, lambda line: show(started_s, line))
+        tracker = JobTracker(operator, lambda line: show(started_s, line))
         actors = await stack.enter_async_context(ActorGroup())
-        await actors.add(board)
-        # First of all, so that the watch ends with the instance that serves it.
+        await actors.add(tracker)
+        # Pushed last, so that the shutdown runs first and the watch ends together
+        # with the instance that serves the watch.
         stack.push_async_callback(_shut_down, cell, started_s)
-        yield Demo(deployment, cell, operator, secrets, board, started_s)
+        yield Demo(deployment, cell, operator, secrets, tracker, started_s)
 
 
 async def _shut_down(cell: Cell, started_s: float) -> None:
-    """Ask the entry instances to end, as an operator would, and wait for them."""
+    """Stop the entry instances with SIGTERM, as operators do, and wait."""
     entries = [cell.process_by_name[name] for name in cell.entry_by_id]
     for process in entries:
         process.send(signal.SIGTERM)
-    until_s = time.monotonic() + SHUTDOWN_LIMIT_S
+    deadline_s = time.monotonic() + SHUTDOWN_TIMEOUT_S
     while any(process.popen.poll() is None for process in entries):
-        if time.monotonic() > until_s:
+        if time.monotonic() > deadline_s:
             show(started_s, "an entry instance did not end in time and is killed")
             return
         await asyncio.sleep(POLL_S)
@@ -322,27 +329,26 @@
 
 
 async def run_steps(folder: pathlib.Path, started_s: float) -> None:
-    """Run every step in a cell of its own.
+    """Start a cell and run all steps in it.
 
     Raises:
-        StepFailedError: If a step did not show what it should.
-        TimeoutError: If the whole took too long.
+        StepFailedError: If a step failed or the demo exceeded its time limit.
     """
     current = "start a cell"
     try:
-        async with asyncio.timeout(LIMIT_S), open_demo(folder, started_s) as demo:
+        async with asyncio.timeout(TIMEOUT_S), open_demo(folder, started_s) as demo:
             for current, function in _step_by_title.items():
                 demo.show(f"--- {current}")
                 await function(demo)
     except TimeoutError as error:
-        reason = str(error) or f"not within {LIMIT_S:.0f} s in all"
+        reason = str(error) or f"not within {TIMEOUT_S:.0f} s in all"
         raise StepFailedError(f"{current}: {reason}") from error
     except (MarjoramgradeError, OSError, RuntimeError) as error:
         raise StepFailedError(f"{current}: {error}") from error
 
 
 async def run_until_signalled(folder: pathlib.Path, started_s: float) -> None:
-    """Run the steps; SIGTERM ends them, and the cell with them."""
+    """Run the steps; SIGTERM ends the steps and the cell."""
     work = asyncio.ensure_future(run_steps(folder, started_s))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, work.cancel)
     await work
--- a/scripts/demoboard.py
+++ b/scripts/demoboard.py
@@ -1,4 +1,4 @@
-"""The newest state of each job, as the watch shows it to the demo."""
+"""Tracks the latest state of each job of the demo from the watch."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 
 @attrs.frozen
-class Changed(Message[None]):
-    """Tells of a change that the watch showed."""
+class EventReceived(Message[None]):
+    """Reports an event of the watch."""
 
     event: WatchEvent
 
 
 @attrs.frozen
 class AwaitJob(Message[Document]):
-    """Waits until the newest state of a job passes a test, and returns it."""
+    """Waits until the latest state of a job passes a test; returns the state."""
 
     job_id: str
     is_reached: JobTest
@@ -39,11 +39,11 @@
     reached: asyncio.Future[Document]
 
 
-class JobBoard(Actor):
-    """Follows the watch, prints each change and answers who waits for a job.
+class JobTracker(Actor):
+    """Follows the watch, prints each change and replies to waiting callers.
 
     Args:
-        client: Reads the watch with the operators' key.
+        client: Client with the operators' key, which reads the watch.
         show: Prints a line.
     """
 
@@ -55,11 +55,11 @@
         self._waiters: list[_Waiter] = []
 
     async def on_start(self) -> None:
-        """Begin to follow the watch."""
+        """Start to follow the watch."""
         self.spawn(self._follow())
 
-    @handles(Changed)
-    async def _changed(self, message: Changed) -> None:
+    @handles(EventReceived)
+    async def _process_event(self, message: EventReceived) -> None:
         event = message.event
         document = event.document or {}
         if event.kind == "config":
@@ -68,19 +68,19 @@
         self._show(f"watch: {describe_job(document)}")
         self._document_by_job[event.name] = document
         for waiter in self._waiters:
-            self._answer(waiter)
+            self._resolve(waiter)
         self._waiters = [w for w in self._waiters if not w.reached.done()]
 
     @handles(AwaitJob)
     async def _await_job(self, message: AwaitJob) -> Any:
         reached = asyncio.get_running_loop().create_future()
         waiter = _Waiter(message.job_id, message.is_reached, reached)
-        self._answer(waiter)
+        self._resolve(waiter)
         if not reached.done():
             self._waiters.append(waiter)
         return reached
 
-    def _answer(self, waiter: _Waiter) -> None:
+    def _resolve(self, waiter: _Waiter) -> None:
         document = self._document_by_job.get(waiter.job_id)
         if document and not waiter.reached.done() and waiter.is_reached(document):
             waiter.reached.set_result(document)
@@ -90,7 +90,7 @@
         while True:
             try:
                 async for event in self._client.watch(after):
-                    self.tell(Changed(event))
+                    self.tell(EventReceived(event))
             except WatchResetError as reset:
                 self._show(f"watch: changes were missed up to {reset.version}")
                 after = reset.version
@@ -107,7 +107,7 @@
 
 
 def describe_tasks(tasks: tuple[Document, ...]) -> str:
-    """Return one line with the number of tasks by state and reason."""
+    """Return one line with the number of tasks for each state and reason."""
     counts = collections.Counter(
         f"{task['state']} ({task['reason']})" for task in tasks
     )
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -1,4 +1,4 @@
-"""The processes of one soak and what is known of its jobs."""
+"""The processes of one soak run and the state of its jobs."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 DEADLINE_MS = 3_000
 
 
-# Below the ports that the kernel gives to outgoing connections, one of which could
-# otherwise take the port of an instance that is down.
+# Below the ephemeral port range of the kernel: an outgoing connection could otherwise
+# use the port of an instance that is down.
 FIRST_PORT, LAST_PORT = 12_000, 32_000
 
 
 @attrs.define
 class StablePorts:
-    """Picks free ports that stay free while nobody listens on them."""
+    """Picks free ports that stay free while no process listens on them."""
 
     _picked: set[int] = attrs.field(factory=set)
 
@@ -50,15 +50,23 @@
 
 @attrs.define
 class Soak:
-    """One seed.
+    """The soak run of one seed.
 
     Attributes:
-        folder: Where settings and logs lie.
-        rng: Decides everything.
-        started: Every process that was started, to be ended in the end.
-        events: What happened, with its time.
-        accepted: Ids of the jobs that were answered with success.
-        refused: Ids of jobs of which every answer was a refusal.
+        folder: Folder of settings and logs.
+        rng: Seeded random generator for all choices except ports.
+        ports: Picks the ports of the processes.
+        process_by_name: Latest process of each name.
+        front_by_name: Address of the HTTP front end of each instance.
+        started: Every process that was started; all are ended at the end of the run.
+        events: Descriptions of faults and results, each with its time.
+        accepted: Monotonic time of acceptance by id of each accepted job.
+        statuses_by_job: HTTP statuses of the submissions of each job; 0 stands for
+            no response.
+        rules: Rules that are in force in the relay: source, target and mode.
+        start_s: Monotonic time of the start.
+        control_port: Control port of the stand-in fleet.
+        relay_port: Control port of the relay.
     """
 
     folder: pathlib.Path
@@ -71,18 +79,18 @@
     accepted: dict[str, float] = attrs.field(factory=dict)
     answers: dict[str, list[int]] = attrs.field(factory=dict)
     rules: list[list[str]] = attrs.field(factory=list)
-    began: float = attrs.field(factory=time.monotonic)
-    control: int = 0
-    relay: int = 0
+    start_s: float = attrs.field(factory=time.monotonic)
+    control_port: int = 0
+    relay_port: int = 0
 
-    def note(self, text: str) -> None:
-        """Record an event."""
-        self.events.append(f"{time.monotonic() - self.began:7.2f} {text}")
+    def record_event(self, text: str) -> None:
+        """Record an event with its time since the start."""
+        self.events.append(f"{time.monotonic() - self.start_s:7.2f} {text}")
 
     async def start(self) -> None:
-        """Start the stand-in, the relay and the instances."""
+        """Start the stand-in fleet, the relay and the instances."""
         pick = self.ports.pick
-        store, self.control, self.relay = pick(), pick(), pick()
+        store, self.control_port, self.relay_port = pick(), pick(), pick()
         routes, workers = [], []
         for number in range(WORKERS):
             real, relayed = pick(), pick()
@@ -92,7 +100,7 @@
             routes.append(_route(f"w{number}", relayed, real))
         plan = {
             "store": store,
-            "control": self.control,
+            "control": self.control_port,
             "workers": workers,
             "config": _config(),
         }
@@ -108,14 +116,14 @@
             "standins.relay",
             str(self.folder / "routes.json"),
             HOST,
-            str(self.relay),
+            str(self.relay_port),
         )
         await asyncio.sleep(1.0)
         for name in INSTANCES:
             self.start_instance(name)
 
     def start_instance(self, name: str) -> None:
-        """Start an instance, unless an overlapping fault has done so."""
+        """Start an instance, unless an overlapping fault has already started it."""
         current = self.process_by_name.get(name)
         if current is not None and current.popen.poll() is None:
             return
@@ -154,16 +162,18 @@
             },
         )
 
-    async def command(self, **body: Any) -> dict[str, Any]:
-        """Change the stand-in's behaviour and return the audit."""
-        answer = await call(f"{HOST}:{self.control}", "POST", "/control", body)
+    async def control_fleet(self, **body: Any) -> dict[str, Any]:
+        """Change the behaviour of the stand-in fleet and return its audit."""
+        answer = await send_request(
+            f"{HOST}:{self.control_port}", "POST", "/control", body
+        )
         if answer is None:
-            raise RuntimeError("the stand-in does not answer")
+            raise RuntimeError("the stand-in fleet does not respond")
         document: dict[str, Any] = json.loads(answer.body)
         return document
 
-    async def cut(self, target: str, mode: str, seconds: float) -> None:
-        """Drop or stall the connections to a target for a while."""
+    async def disturb_connections(self, target: str, mode: str, seconds: float) -> None:
+        """Drop or stall the connections to a target for some seconds."""
         rule = ["", target, mode]
         self.rules.append(rule)
         await self._send_rules()
@@ -173,7 +183,7 @@
 
     async def _send_rules(self) -> None:
         rules = {"rules": self.rules}
-        await call(f"{HOST}:{self.relay}", "POST", "/control", rules)
+        await send_request(f"{HOST}:{self.relay_port}", "POST", "/control", rules)
 
     async def stop(self) -> None:
         """End every process that this soak started."""
@@ -204,14 +214,14 @@
     return {"version": 1, "routes": [route], "services": [{"name": "pool"}]}
 
 
-async def call(
+async def send_request(
     address: str,
     method: str,
     path: str,
     body: Any = None,
     headers: dict[str, str] | None = None,
 ) -> HttpResponse | None:
-    """Send a request on a new connection; returns None if no whole answer came."""
+    """Send a request on a new connection; return None without a full response."""
     pool = HttpPool(address, 1)
     data = b"" if body is None else json.dumps(body).encode()
     try:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak injects; each one ends by itself."""
+"""The faults that a soak run injects; each function also ends its fault."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 async def kill(soak: Soak) -> None:
     """Kill an instance and start it again."""
     name = soak.rng.choice(INSTANCES)
-    soak.note(f"kill {name}")
+    soak.record_event(f"kill {name}")
     soak.process_by_name[name].end()
     await asyncio.sleep(soak.rng.uniform(0.1, 2.0))
     soak.start_instance(name)
@@ -27,7 +27,7 @@
 @FAULTS.register("kill_all")
 async def kill_all(soak: Soak) -> None:
     """Kill all instances at once."""
-    soak.note("kill all")
+    soak.record_event("kill all")
     for name in INSTANCES:
         soak.process_by_name[name].end()
     await asyncio.sleep(soak.rng.uniform(0.1, 1.5))
@@ -37,10 +37,10 @@
 
 @FAULTS.register("freeze")
 async def freeze(soak: Soak) -> None:
-    """Freeze an instance and let it go on."""
+    """Freeze an instance and resume the instance later."""
     name = soak.rng.choice(INSTANCES)
     process = soak.process_by_name[name]
-    soak.note(f"freeze {name}")
+    soak.record_event(f"freeze {name}")
     process.send(signal.SIGSTOP)
     await asyncio.sleep(soak.rng.uniform(0.5, 4.0))
     process.send(signal.SIGCONT)
@@ -51,7 +51,7 @@
     """Stop an instance gracefully and start it again."""
     name = soak.rng.choice(INSTANCES)
     process = soak.process_by_name[name]
-    soak.note(f"terminate {name}")
+    soak.record_event(f"terminate {name}")
     process.send(signal.SIGTERM)
     await asyncio.sleep(GRACE_S)
     process.end()
@@ -60,52 +60,52 @@
 
 @FAULTS.register("reload")
 async def reload(soak: Soak) -> None:
-    """Send SIGHUP."""
+    """Make an instance reload its settings with SIGHUP."""
     name = soak.rng.choice(INSTANCES)
-    soak.note(f"reload {name}")
+    soak.record_event(f"reload {name}")
     soak.process_by_name[name].send(signal.SIGHUP)
 
 
 @FAULTS.register("store")
 async def store(soak: Soak) -> None:
-    """Let the store be busy, slow or lose answers."""
+    """Make the store busy, slow or lose responses."""
     mode = soak.rng.choice(("busy", "slow", "lost"))
-    soak.note(f"store {mode}")
-    await soak.command(mode=mode)
+    soak.record_event(f"store {mode}")
+    await soak.control_fleet(mode=mode)
     await asyncio.sleep(soak.rng.uniform(0.5, 4.0))
-    await soak.command(mode="ok")
+    await soak.control_fleet(mode="ok")
 
 
 @FAULTS.register("cut_store")
 async def cut_store(soak: Soak) -> None:
-    """Cut one instance off from the store."""
+    """Disconnect one instance from the store."""
     target = f"store-{soak.rng.choice(INSTANCES)}"
     mode = soak.rng.choice(("drop", "stall"))
-    soak.note(f"{mode} {target}")
-    await soak.cut(target, mode, soak.rng.uniform(0.5, 4.0))
+    soak.record_event(f"{mode} {target}")
+    await soak.disturb_connections(target, mode, soak.rng.uniform(0.5, 4.0))
 
 
 @FAULTS.register("cut_worker")
 async def cut_worker(soak: Soak) -> None:
-    """Cut one worker off from all instances."""
+    """Disconnect one worker from all instances."""
     target = f"w{soak.rng.randrange(WORKERS)}"
     mode = soak.rng.choice(("drop", "stall"))
-    soak.note(f"{mode} {target}")
-    await soak.cut(target, mode, soak.rng.uniform(0.5, 6.0))
+    soak.record_event(f"{mode} {target}")
+    await soak.disturb_connections(target, mode, soak.rng.uniform(0.5, 6.0))
 
 
 @FAULTS.register("crash_worker")
 async def crash_worker(soak: Soak) -> None:
-    """Let a worker start again."""
+    """Crash and restart a worker."""
     number = soak.rng.randrange(WORKERS)
-    soak.note(f"crash w{number}")
-    await soak.command(crash=number)
+    soak.record_event(f"crash w{number}")
+    await soak.control_fleet(crash=number)
 
 
 @FAULTS.register("late")
 async def late(soak: Soak) -> None:
-    """Let orders to workers go unanswered and be carried out late."""
-    soak.note("late orders")
-    await soak.command(late=0.1)
+    """Delay orders to workers: no response in time, and late execution."""
+    soak.record_event("late orders")
+    await soak.control_fleet(late=0.1)
     await asyncio.sleep(soak.rng.uniform(1.0, 3.0))
-    await soak.command(late=0.0)
+    await soak.control_fleet(late=0.0)
--- a/soak/instance.py
+++ b/soak/instance.py
@@ -1,4 +1,4 @@
-"""Starts an entry instance with the settings file that the first argument names."""
+"""Starts an entry instance with the settings file given as first argument."""
 
 import os
 import sys
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,12 +1,12 @@
-"""Runs the real programs as processes, injects faults and checks the promises.
+"""Runs the real programs as processes, injects faults and checks the guarantees.
 
     python -m soak.run --seeds 5 [--first 1] [--seconds 12]
 
-Each seed plays a series of overlapping faults: instances are killed, frozen, stopped
-and reloaded by signals, the store is busy, slow or loses answers, instances and
-workers are cut off by a loopback relay, workers crash and carry orders out late.
-Clients hand jobs in all the while. At the end all faults stop and every accepted job
-must be complete. Only processes that the soak started are ended.
+Each seed injects a series of overlapping faults: instances are killed, frozen,
+stopped and reloaded by signals, the store is busy, slow or loses responses, a loopback
+relay disconnects instances and workers, workers crash and execute orders late.
+Clients submit jobs throughout. At the end all faults stop and every accepted job
+must be complete. Only processes that the soak run started are ended.
 """
 
 from __future__ import annotations
@@ -22,23 +22,24 @@
 import time
 from typing import Any
 
-from soak.cell import DEADLINE_MS, INSTANCES, Soak, call
+from soak.cell import DEADLINE_MS, INSTANCES, Soak, send_request
 from soak.faults import FAULTS
 
-# The rules' bound for jobs that are asked for after the end of the traffic.
+# Limit of the rules for jobs whose state is requested after the end of the traffic.
 FINISH_S = 14.0
 START_S = 10.0
 
-# Seeds that failed once, each with its cause.
+# Seeds that have failed before, each with the cause.
 REGRESSIONS = {
-    1: "a worker that started again: its ends were acknowledged for its earlier life, "
-    "and an order to its earlier life came late, after its task was placed elsewhere",
-    20: "a connection that was closed as soon as it was made ended the process",
+    1: "a worker restarted: its task ends were acknowledged for its earlier "
+    "incarnation, and an order to that incarnation arrived late, after the task was "
+    "placed on another worker",
+    20: "a connection that was closed immediately after opening ended the process",
 }
 
 
 async def submit(soak: Soak, number: int) -> None:
-    """Hand a job in as a client does: again after each answer without a promise."""
+    """Submit a job as a client does, with retries until a response accepts it."""
     job_id = f"{number:016x}"
     took_ms = soak.rng.randrange(50, 900)
     step: dict[str, Any] = {"count": soak.rng.randrange(1, 5), "cpu": 1_000}
@@ -51,7 +52,7 @@
     for _ in range(4):
         name = soak.rng.choice(INSTANCES)
         headers = {"Host": "jobs.example", "X-Deadline-Ms": str(DEADLINE_MS)}
-        answer = await call(
+        answer = await send_request(
             soak.front_by_name[name], "POST", f"/q/{job_id}", body, headers
         )
         codes.append(answer.status if answer is not None else 0)
@@ -62,21 +63,21 @@
 
 
 async def state_of(soak: Soak, job_id: str) -> str:
-    """Return the state of a job, or the status of the answer."""
+    """Return the state of a job, "410", or "no response"."""
     for name in INSTANCES:
         headers = {"Host": "jobs.example"}
-        answer = await call(
+        answer = await send_request(
             soak.front_by_name[name], "GET", f"/q/{job_id}", None, headers
         )
         if answer is not None and answer.status == 200:
             return str(json.loads(answer.body)["state"])
         if answer is not None and answer.status == 410:
             return "410"
-    return "no answer"
+    return "no response"
 
 
-async def play(soak: Soak, seconds: float) -> list[str]:
-    """Play one seed and return what was broken."""
+async def run_soak(soak: Soak, seconds: float) -> list[str]:
+    """Run one seed and return the violations."""
     await soak.start()
     await _wait_until_ready(soak)
     tasks: list[asyncio.Task[None]] = []
@@ -92,10 +93,12 @@
             next_fault = time.monotonic() + soak.rng.uniform(0.2, 2.0)
         await asyncio.sleep(soak.rng.uniform(0.1, 0.3))
     await asyncio.gather(*tasks)
-    soak.note("all faults are over")
+    soak.record_event("all faults are over")
     broken = await _await_completion(soak)
-    audit = await soak.command()
-    soak.note(f"{audit['starts']} starts, {len(soak.accepted)} of {number} accepted")
+    audit = await soak.control_fleet()
+    soak.record_event(
+        f"{audit['starts']} starts, {len(soak.accepted)} of {number} accepted"
+    )
     return [*broken, *audit["violations"]]
 
 
@@ -105,7 +108,7 @@
         if await state_of(soak, "f" * 16) == "410":
             return
         await asyncio.sleep(0.2)
-    raise RuntimeError("no instance answers; see the logs")
+    raise RuntimeError("no instance responds; see the logs")
 
 
 async def _await_completion(soak: Soak) -> list[str]:
@@ -123,22 +126,22 @@
         if job_id in soak.accepted or any(code not in (429, 503) for code in codes):
             continue
         state = await state_of(soak, job_id)
-        if state not in ("410", "no answer"):
+        if state not in ("410", "no response"):
             broken.append(f"job {job_id} was refused with {codes} and is {state}")
     return broken
 
 
-async def run_seed(seed: int, seconds: float, keep: pathlib.Path | None) -> bool:
-    """Play a seed in a folder of its own; returns whether all promises held."""
+async def run_seed(seed: int, seconds: float, log_folder: pathlib.Path | None) -> bool:
+    """Run a seed in its own folder; return whether all guarantees held."""
     with contextlib.ExitStack() as stack:
-        if keep is None:
+        if log_folder is None:
             folder = pathlib.Path(stack.enter_context(tempfile.TemporaryDirectory()))
         else:
-            folder = keep / str(seed)
+            folder = log_folder / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
         soak = Soak(folder, random.Random(seed))
         try:
-            broken = await play(soak, seconds)
+            broken = await run_soak(soak, seconds)
         finally:
             await soak.stop()
         print(f"seed {seed}: {'ok' if not broken else 'BROKEN'}; {soak.events[-1]}")
@@ -148,7 +151,7 @@
 
 
 def main() -> int:
-    """Play the seeds that the command line names."""
+    """Run the seeds that the command line selects."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=3, help="number of seeds")
     parser.add_argument("--first", type=int, default=1, help="first seed")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the fault soak."""
+"""A short soak run with faults."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 @pytest.mark.parametrize("seed", [1])
 def test_promises_hold_in_a_short_soak(seed):
-    # Guards against lost, doubled or overcommitted work while faults overlap.
+    # Guards against lost or duplicate work and overcommitted workers under faults.
     assert asyncio.run(run_seed(seed, SECONDS, None))
