--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -249,7 +249,7 @@
             if run is None:
                 continue
             if not lead.state.may_send_start(run, order.ticket, self._clock.now_ms()):
-                lead.state.start_refused(action.worker_id, order.task, order.run)
+                lead.state.record_start_refused(action.worker_id, order.task, order.run)
                 self._schedule_plan(lead)
                 continue
             link.tell(SendRunStart(order, action.fence))
--- a/marjoramgrade/controllers/leaderevents.py
+++ b/marjoramgrade/controllers/leaderevents.py
@@ -232,7 +232,7 @@
         if lead is None or not worker:
             return
         was_synced = worker.synced
-        lead.state.listed(
+        lead.state.apply_listing(
             worker,
             message.listing,
             message.fence,
@@ -318,7 +318,9 @@
         self._perform_actions(lead)
 
     def _handle_refused_start(self, lead: LeaderState, message: RunStartResult) -> None:
-        run = lead.state.start_refused(message.worker_id, message.task, message.run)
+        run = lead.state.record_start_refused(
+            message.worker_id, message.task, message.run
+        )
         if run is None:
             return
         self._metrics.retried("start_refused")
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -43,7 +43,9 @@
         if run is not None:
             self._mark_started(run, now_ms)
 
-    def start_refused(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
+    def record_start_refused(
+        self, worker_id: str, task: TaskRef, number: int
+    ) -> Run | None:
         """Remove a run that a worker has not started and never will.
 
         Returns:
@@ -62,7 +64,7 @@
         if run is not None and not run.running_since_ms and worker is not None:
             self.request_sync(worker)
 
-    def listed(
+    def apply_listing(
         self,
         worker: WorkerState,
         listing: WorkerListing,
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -100,7 +100,7 @@
     ) -> None:
         """Apply a worker's response to a listing call."""
         worker = self.worker(worker_id)
-        self.state.listed(
+        self.state.apply_listing(
             worker,
             WorkerListing(born_ms, self.now_ms, running, ended),
             worker.fence if fence is None else fence,
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -163,7 +163,7 @@
     harness.plan()
     record_tickets(harness, progress, "w")
     (start,) = starts(harness.plan())
-    run = harness.state.start_refused("w", start.order.task, start.order.run)
+    run = harness.state.record_start_refused("w", start.order.task, start.order.run)
     run.step.tickets.discard_ticket("w")
     assert len(advice_requests(harness.plan())) == 1
 
@@ -319,7 +319,7 @@
     assert harness.state.may_send_start(run, ticket, harness.now_ms)
     harness.now_ms += 2_000
     assert not harness.state.may_send_start(run, ticket, harness.now_ms)
-    harness.state.start_refused("w", start.order.task, start.order.run)
+    harness.state.record_start_refused("w", start.order.task, start.order.run)
     assert len(advice_requests(harness.plan())) == 1
 
 
--- a/tests/test_stepstate_machine.py
+++ b/tests/test_stepstate_machine.py
@@ -149,7 +149,7 @@
             tuple(RunReport(*key, "", 50, 0) for key in fake.running),
             tuple(fake.ended),
         )
-        self.state.listed(
+        self.state.apply_listing(
             state, listing, state.fence, self.now_ms, self.now_ms, self.now_ms
         )
         for end in fake.ended:
@@ -214,7 +214,7 @@
                 action.worker_id, order.task, order.run, self.now_ms
             )
         else:
-            self.state.start_refused(action.worker_id, order.task, order.run)
+            self.state.record_start_refused(action.worker_id, order.task, order.run)
 
     @invariant()
     def no_worker_is_overcommitted(self):
