--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -400,9 +400,9 @@
                 "advice_failed", job=action.job_id, by=instance_id, code=error.code
             )
         else:
-            channels.record_answer(instance_id)
+            channels.record_response(instance_id)
         finally:
-            channels.ended(instance_id, action.decide_ms)
+            channels.record_call_end(instance_id, action.decide_ms)
         if self._lead is not lead:
             return
         now_ms = self._clock.now_ms()
--- a/marjoramgrade/decisions/advisorchannels.py
+++ b/marjoramgrade/decisions/advisorchannels.py
@@ -68,11 +68,11 @@
         """Record that a call was started."""
         self._pending_ms_by_id[instance_id] = self.pending_ms(instance_id) + decide_ms
 
-    def ended(self, instance_id: str, decide_ms: int) -> None:
+    def record_call_end(self, instance_id: str, decide_ms: int) -> None:
         """Record that a call returned, failed or was abandoned."""
         self._pending_ms_by_id[instance_id] -= decide_ms
 
-    def record_answer(self, instance_id: str) -> None:
+    def record_response(self, instance_id: str) -> None:
         """Reset the back-off of an instance that returned advice."""
         self._backoff_ms_by_id.pop(instance_id, None)
 
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -93,7 +93,7 @@
         if cache is None:
             return
         if is_reached:
-            cache.failed(now_ms)
+            cache.record_failure(now_ms)
         else:
             cache.record_not_reached()
 
--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -229,7 +229,7 @@
                 run.step.done_durations.append(duration_ms)
                 self.durations.add(run.step.job.queue.name, duration_ms)
         elif ending is RunEndStatus.FAILED:
-            worker.suspicion.failed(run.task.job_id, now_ms)
+            worker.suspicion.record_failure(run.task.job_id, now_ms)
 
     def _expected_ms(self, step: StepProgress) -> float:
         """Return the expected duration of a task, or infinity if none is known."""
--- a/marjoramgrade/decisions/stepworkers.py
+++ b/marjoramgrade/decisions/stepworkers.py
@@ -44,7 +44,7 @@
         self.suspicion_ms = SUSPICION_MS
         self.probing = False
 
-    def failed(self, job_id: str, now_ms: int) -> bool:
+    def record_failure(self, job_id: str, now_ms: int) -> bool:
         """Record a failed run; return whether the worker became suspect."""
         self.failed_jobs.add(job_id)
         if self.probing or len(self.failed_jobs) >= FAILURES_TO_SUSPECT:
--- a/marjoramgrade/decisions/tickets.py
+++ b/marjoramgrade/decisions/tickets.py
@@ -82,7 +82,7 @@
             self.ticket_by_worker.pop(worker_id, None)
         self.ticket_by_worker.update(ticket_by_worker)
 
-    def failed(self, now_ms: int) -> None:
+    def record_failure(self, now_ms: int) -> None:
         """Record a failed call; the next one is delayed."""
         self.is_pending = False
         self.next_call_ms = now_ms + ADVICE_RETRY_MS
--- a/tests/test_advisorchannels.py
+++ b/tests/test_advisorchannels.py
@@ -42,7 +42,7 @@
     assert channels.choose(530, 300) == "peer"
     channels.avoid("peer", 2, 300)
     assert channels.choose(530, 700) == "own"
-    channels.record_answer("peer")
+    channels.record_response("peer")
     channels.avoid("peer", 2, 1_000)
     assert channels.choose(530, 1_300) == "peer"
 
@@ -65,5 +65,5 @@
     for decide_ms in calls:
         channels.record_call("peer", decide_ms)
     for decide_ms in reversed(calls):
-        channels.ended("peer", decide_ms)
+        channels.record_call_end("peer", decide_ms)
     assert channels.choose(2 * MAX_CHANNEL_BACKLOG_MS, 0) == "peer"
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -119,13 +119,13 @@
     harness = StepHarness.make(worker("w", 8))
     harness.add(job("a", queue=ADVISED), ADVISED)
     first = advice_requests(harness.plan())
-    harness.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
+    harness.planner.channels.record_call_end(first[0].instance_id, first[0].decide_ms)
     harness.planner.record_advice_failure(
         first[0], is_reached=False, now_ms=harness.now_ms
     )
     again = advice_requests(harness.plan())
     assert len(again) == 1
-    harness.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
+    harness.planner.channels.record_call_end(again[0].instance_id, again[0].decide_ms)
     harness.planner.record_advice_failure(
         again[0], is_reached=True, now_ms=harness.now_ms
     )
--- a/tests/test_stepworkers.py
+++ b/tests/test_stepworkers.py
@@ -15,14 +15,14 @@
     # Guards against avoiding healthy workers because of a job that always fails.
     suspicion = WorkerSuspicion()
     for _ in range(10):
-        assert not suspicion.failed("poison", 1_000)
+        assert not suspicion.record_failure("poison", 1_000)
 
 
 def test_worker_that_fails_everything_gets_one_task_at_a_time():
     # Guards against a faulty worker that uses up the attempts of every job.
     suspicion = WorkerSuspicion()
     for index in range(FAILURES_TO_SUSPECT):
-        suspicion.failed(f"job-{index}", 1_000)
+        suspicion.record_failure(f"job-{index}", 1_000)
     assert not suspicion.allows(1_001, 0)
     later_ms = suspicion.suspect_until_ms
     assert suspicion.allows(later_ms, 0)
