--- a/marjoramgrade/controllers/jobwriter.py
+++ b/marjoramgrade/controllers/jobwriter.py
@@ -63,14 +63,14 @@
                     WriteJob(merged, stored.version, state.fence)
                 )
         except CheckFailedError:
-            state.outcomes.failed(job_id, outcomes)
+            state.outcomes.restore(job_id, outcomes)
             await self._reload(job_id)
             return
         except MarjoramgradeError:
             self._metrics.retried("outcome_table_error")
-            state.outcomes.failed(job_id, outcomes)
+            state.outcomes.restore(job_id, outcomes)
             return
-        state.outcomes.written(job_id)
+        state.outcomes.end_write(job_id)
         state.record_job_write(written)
         for task, worker_id in outcomes.worker_by_task.items():
             state.outboxes.acknowledge(worker_id, task)
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -267,7 +267,7 @@
         for worker_id in self.sessions.pop_lapsed(now_ms):
             self.reconciliation.confirm(worker_id)
             if worker_id in self.scheduler.pool:
-                self.scheduler.worker_lost(worker_id, now_ms)
+                self.scheduler.remove_lost_worker(worker_id, now_ms)
 
     def _adopt(self, worker_id: str, run: TaskRun, now_ms: int) -> None:
         """Adopt a reported task, or stop it if it should not run on this worker."""
--- a/marjoramgrade/decisions/outcomes.py
+++ b/marjoramgrade/decisions/outcomes.py
@@ -76,11 +76,11 @@
         self._jobs_being_written.add(job_id)
         return self._waiting_by_job.pop(job_id)
 
-    def written(self, job_id: str) -> None:
+    def end_write(self, job_id: str) -> None:
         """End a write that has succeeded; its outcomes are durable."""
         self._jobs_being_written.discard(job_id)
 
-    def failed(self, job_id: str, outcomes: JobOutcomes) -> None:
+    def restore(self, job_id: str, outcomes: JobOutcomes) -> None:
         """Put back outcomes whose write failed or has an unknown result."""
         self._jobs_being_written.discard(job_id)
         waiting = self._waiting_by_job.setdefault(job_id, JobOutcomes())
--- a/marjoramgrade/decisions/scheduler.py
+++ b/marjoramgrade/decisions/scheduler.py
@@ -198,7 +198,7 @@
         self.pool.drain(worker_id)
         self._state.cancel_reservations_on(worker_id, now_ms)
 
-    def worker_lost(self, worker_id: str, now_ms: int) -> list[TaskId]:
+    def remove_lost_worker(self, worker_id: str, now_ms: int) -> list[TaskId]:
         """Remove a worker whose tasks are known to have ended, and requeue them.
 
         Returns:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -71,7 +71,7 @@
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=2))
     scheduler.submit(queued("gang", members=(0, 1, 2)), 0)
     placed = started(scheduler.step(0, 10))
-    lost = scheduler.worker_lost("w-0", 1)
+    lost = scheduler.remove_lost_worker("w-0", 1)
     others = [TaskId.parse(n) for n, w in placed.items() if w == "w-1"]
     stops = {d.task for d in scheduler.step(1, 10)}
     assert stops == set(others)
@@ -88,7 +88,7 @@
     scheduler = scheduler_of(node("w-0", cores=1), node("w-1", cores=1))
     scheduler.submit(queued("gang", members=(0, 1)), 0)
     placed = started(scheduler.step(0, 10))
-    scheduler.worker_lost(placed["gang/0"], 1)
+    scheduler.remove_lost_worker(placed["gang/0"], 1)
     assert scheduler.cancel_job("gang") == 2
     scheduler.task_ended(TaskId("gang", 1), EndStatus.STOPPED, 2)
     assert scheduler.queued_count == scheduler.running_count == 0
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -141,6 +141,6 @@
     scheduler = scheduler_of(node("w-0", cores=1))
     fill(scheduler, queued("a", 0, "a"))
     victims_of(scheduler, team="c")
-    scheduler.worker_lost("w-0", 2_000)
+    scheduler.remove_lost_worker("w-0", 2_000)
     scheduler.add_worker(node("w-1", cores=1))
     assert started(scheduler.step(2_000, 10)) == {"urgent/0": "w-1"}
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -48,7 +48,7 @@
     scheduler = scheduler_of(node("w-0"))
     scheduler.submit(queued("j"), 0)
     scheduler.step(0, 10)
-    assert scheduler.worker_lost("w-0", 1) == [TaskId("j", 0)]
+    assert scheduler.remove_lost_worker("w-0", 1) == [TaskId("j", 0)]
     assert scheduler.reason_of(TaskId("j", 0)) == "requeued: worker lost"
     scheduler.add_worker(node("w-1"))
     assert started(scheduler.step(2, 10)) == {"j/0": "w-1"}
--- a/tests/test_scheduler_machine.py
+++ b/tests/test_scheduler_machine.py
@@ -58,7 +58,7 @@
     def lose_worker(self, name: str) -> None:
         if name not in self.schedulable_workers | self.draining:
             return
-        lost = set(self.scheduler.worker_lost(name, self.now_ms))
+        lost = set(self.scheduler.remove_lost_worker(name, self.now_ms))
         assert lost == {t for t, (worker, _) in self.placed.items() if worker == name}
         for task in lost:
             self.record_end(task, is_final=task in self.dropped)
