--- a/marjoramgrade/messages/peers.py
+++ b/marjoramgrade/messages/peers.py
@@ -16,7 +16,7 @@
     Attributes:
         instance_id: Its id.
         zone: Its availability zone.
-        host: IP number.
+        host: IP address.
         peer_port: TCP port for other entry instances.
         row_version: Version of its row; members with a lower version registered
             earlier.
--- a/marjoramgrade/model.py
+++ b/marjoramgrade/model.py
@@ -261,7 +261,7 @@
         kind: What runs there.
         zone: Its availability zone.
         rack: Its rack; empty where racks do not matter.
-        host: IP number.
+        host: IP address.
         port: TCP port of its main protocol.
         leaving: Whether the platform is about to remove it.
         capacity: Resources that it offers.
--- a/marjoramgrade/stepjobs.py
+++ b/marjoramgrade/stepjobs.py
@@ -233,7 +233,7 @@
     Attributes:
         worker_id: Its id.
         pool: The pool that it belongs to.
-        address: IP number and port.
+        address: IP address and port.
         zone: Its availability zone.
         capacity: Resources that it offers.
         labels: Its kind and its rack.
