--- a/marjoramgrade/controllers/grantmanager.py
+++ b/marjoramgrade/controllers/grantmanager.py
@@ -162,7 +162,7 @@
         self._read_version = max(self._read_version, page.version)
 
     def _observe(self, stored: StoredGrants) -> None:
-        self._held_grants.observe(stored.row, stored.version)
+        self._held_grants.adopt(stored.row, stored.version)
         self._config_version_by_team[stored.row.team] = stored.config_version
 
     def _plan(self, is_reconciled: bool) -> list[StoredGrants]:
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -83,7 +83,7 @@
     _grant_by_team: dict[str, TeamGrant] = attrs.field(factory=dict)
     _running_by_team: dict[str, Resources] = attrs.field(factory=dict)
 
-    def observe(self, row: GrantsRow, version: int) -> None:
+    def adopt(self, row: GrantsRow, version: int) -> None:
         """Adopt a row that was read or written, if it is newer than the known row.
 
         A row of the same version does not resolve a pending write that is based
--- a/marjoramgrade/decisions/ownership.py
+++ b/marjoramgrade/decisions/ownership.py
@@ -97,18 +97,18 @@
     unchanged_since_ms: int = 0
     is_released: bool = False
 
-    def observe(self, row: ShardRow, version: int, answered_ms: int) -> None:
+    def observe(self, row: ShardRow, version: int, responded_ms: int) -> None:
         """Record the result of reading the ownership row.
 
         Args:
             row: The row as read.
             version: Version of the row in the table.
-            answered_ms: Time at which the response arrived.
+            responded_ms: Time at which the response arrived.
         """
         self.is_released = row.owner == ""
         if version != self.version:
             self.version = version
-            self.unchanged_since_ms = answered_ms
+            self.unchanged_since_ms = responded_ms
 
     def may_take_over(self, now_ms: int, lease_ms: int = OWNERSHIP_LEASE_MS) -> bool:
         """Return whether the shard is released or its lease has certainly lapsed."""
--- a/marjoramgrade/decisions/takeover.py
+++ b/marjoramgrade/decisions/takeover.py
@@ -43,7 +43,7 @@
     _confirmed: set[str] = attrs.field(factory=set, init=False)
 
     @property
-    def lapsed_ms(self) -> int:
+    def lease_lapse_ms(self) -> int:
         """Time at which all unconfirmed workers have lapsed."""
         return self.started_ms + self.worker_lease_ms + self.margin_ms
 
@@ -57,11 +57,11 @@
 
     def lapsed(self, now_ms: int) -> frozenset[str]:
         """Return the unconfirmed workers whose leases have certainly lapsed."""
-        return self._unconfirmed() if now_ms >= self.lapsed_ms else frozenset()
+        return self._unconfirmed() if now_ms >= self.lease_lapse_ms else frozenset()
 
     def unknown(self, now_ms: int) -> frozenset[str]:
         """Return the workers that may run tasks unknown to the new owner."""
-        return frozenset() if now_ms >= self.lapsed_ms else self._unconfirmed()
+        return frozenset() if now_ms >= self.lease_lapse_ms else self._unconfirmed()
 
     def is_complete(self, now_ms: int) -> bool:
         """Return whether queued tasks may start."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -36,7 +36,7 @@
 def held_grants_of(limit: int, amount: int) -> HeldGrants:
     held = HeldGrants("x", 1)
     row = GrantsRow("t", units(limit), {"x": units(amount)})
-    held.observe(grants.claim(row, "x", 1), 1)
+    held.adopt(grants.claim(row, "x", 1), 1)
     return held
 
 
@@ -59,11 +59,11 @@
     held = HeldGrants("x", 2)
     row = grants.claim(GrantsRow("t", units(9), {"x": units(5)}), "x", 1)
     held.reserve_running("t", units(4))
-    held.observe(row, 1)
+    held.adopt(row, 1)
     assert not held.reserve("t", units(1))
     claimed = held.begin_claim("t")
     assert claimed is not None
-    held.observe(claimed, 2)
+    held.adopt(claimed, 2)
     assert held.headroom("t") == attrs.evolve(held.headroom("t"), accelerators=1)
 
 
@@ -74,9 +74,9 @@
     assert returning is not None and returning.amount("x") == units(2)
     assert held.headroom("t").accelerators == 2
     assert held.begin_allocate("t", units(1)) is None, "a write is pending"
-    held.observe(grants.claim(GrantsRow("t", units(10)), "x", 1), 1)
+    held.adopt(grants.claim(GrantsRow("t", units(10)), "x", 1), 1)
     assert held.headroom("t").accelerators == 2, "the write may still take effect"
-    held.observe(returning, 2)
+    held.adopt(returning, 2)
     assert held.headroom("t").accelerators == 2
     assert held.begin_return("t", units(1)) is not None
     held.cancel("t")
@@ -90,7 +90,7 @@
     lowered = grants.with_limit(
         grants.claim(GrantsRow("t", units(10), {"x": units(8)}), "x", 1), units(4)
     )
-    held.observe(lowered, 2)
+    held.adopt(lowered, 2)
     assert held.excess("t") == units(2)
     assert held.begin_confirm("t") is None
     held.release("t", units(2))
@@ -154,11 +154,11 @@
     @rule(shard=SHARD)
     def observe(self, shard: str) -> None:
         self.old_rows = [*self.old_rows, self.read()][-8:]
-        self.owners[shard].held.observe(*self.read())
+        self.owners[shard].held.adopt(*self.read())
 
     @rule(shard=SHARD, pick=st.integers(0, 9))
     def observe_late(self, shard: str, pick: int) -> None:
-        self.owners[shard].held.observe(*self.old_rows[pick % len(self.old_rows)])
+        self.owners[shard].held.adopt(*self.old_rows[pick % len(self.old_rows)])
 
     @rule(shard=SHARD, amount=st.integers(1, 4))
     def start(self, shard: str, amount: int) -> None:
@@ -228,7 +228,7 @@
         except CheckFailedError:
             return
         if is_answered and self.owners[shard] is owner:
-            owner.held.observe(*self.read())
+            owner.held.adopt(*self.read())
 
     @invariant()
     def never_above_the_limit(self) -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -41,12 +41,12 @@
 def test_unresponsive_workers_delay_starts_until_their_leases_end() -> None:
     """Guards against a second start of a task that its first worker still runs."""
     reconciliation = Reconciliation(WORKERS, 100, WORKER_LEASE_MS, DRIFT_MARGIN_MS)
-    lapsed_ms = 100 + WORKER_LEASE_MS + DRIFT_MARGIN_MS
+    lease_lapse_ms = 100 + WORKER_LEASE_MS + DRIFT_MARGIN_MS
     reconciliation.confirm("w0")
-    assert reconciliation.unknown(lapsed_ms - 1) == {"w1"}
-    assert not reconciliation.is_complete(lapsed_ms - 1)
-    assert reconciliation.lapsed(lapsed_ms) == {"w1"}
-    assert reconciliation.is_complete(lapsed_ms)
+    assert reconciliation.unknown(lease_lapse_ms - 1) == {"w1"}
+    assert not reconciliation.is_complete(lease_lapse_ms - 1)
+    assert reconciliation.lapsed(lease_lapse_ms) == {"w1"}
+    assert reconciliation.is_complete(lease_lapse_ms)
 
 
 def test_confirmed_workers_and_empty_shards_delay_no_starts() -> None:
