--- a/marjoramgrade/decisions/stepstate.py
+++ b/marjoramgrade/decisions/stepstate.py
@@ -43,7 +43,9 @@
         if run is not None:
             self._mark_started(run, now_ms)
 
-    def start_refused(self, worker_id: str, task: TaskRef, number: int) -> Run | None:
+    def record_start_refused(
+        self, worker_id: str, task: TaskRef, number: int
+    ) -> Run | None:
         """Remove a run that a worker has not started and never will.
 
         Returns:
@@ -62,7 +64,7 @@
         if run is not None and not run.running_since_ms and worker is not None:
             self.request_sync(worker)
 
-    def listed(
+    def apply_listing(
         self,
         worker: WorkerState,
         listing: WorkerListing,
@@ -227,7 +229,7 @@
                 run.step.done_durations.append(duration_ms)
                 self.durations.add(run.step.job.queue.name, duration_ms)
         elif ending is RunEndStatus.FAILED:
-            worker.suspicion.failed(run.task.job_id, now_ms)
+            worker.suspicion.record_failure(run.task.job_id, now_ms)
 
     def _expected_ms(self, step: StepProgress) -> float:
         """Return the expected duration of a task, or infinity if none is known."""
--- a/tests/test_stepplanning.py
+++ b/tests/test_stepplanning.py
@@ -119,13 +119,13 @@
     harness = StepHarness.make(worker("w", 8))
     harness.add(job("a", queue=ADVISED), ADVISED)
     first = advice_requests(harness.plan())
-    harness.planner.channels.ended(first[0].instance_id, first[0].decide_ms)
+    harness.planner.channels.record_call_end(first[0].instance_id, first[0].decide_ms)
     harness.planner.record_advice_failure(
         first[0], is_reached=False, now_ms=harness.now_ms
     )
     again = advice_requests(harness.plan())
     assert len(again) == 1
-    harness.planner.channels.ended(again[0].instance_id, again[0].decide_ms)
+    harness.planner.channels.record_call_end(again[0].instance_id, again[0].decide_ms)
     harness.planner.record_advice_failure(
         again[0], is_reached=True, now_ms=harness.now_ms
     )
@@ -163,7 +163,7 @@
     harness.plan()
     record_tickets(harness, progress, "w")
     (start,) = starts(harness.plan())
-    run = harness.state.start_refused("w", start.order.task, start.order.run)
+    run = harness.state.record_start_refused("w", start.order.task, start.order.run)
     run.step.tickets.discard_ticket("w")
     assert len(advice_requests(harness.plan())) == 1
 
@@ -319,7 +319,7 @@
     assert harness.state.may_send_start(run, ticket, harness.now_ms)
     harness.now_ms += 2_000
     assert not harness.state.may_send_start(run, ticket, harness.now_ms)
-    harness.state.start_refused("w", start.order.task, start.order.run)
+    harness.state.record_start_refused("w", start.order.task, start.order.run)
     assert len(advice_requests(harness.plan())) == 1
 
 
