--- a/formal/acceptance.py
+++ b/formal/acceptance.py
@@ -1,4 +1,4 @@
-"""Acceptance of one job: its row, the answer to the caller and the owner's queue."""
+"""Acceptance of one job: its row, the response to the client, the owner's queue."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from formal.bounded import Expr, Sort, Spec, State, Step, updates
 
-NEW, SENT, APPLIED, LOST, OVER = range(5)
-NOTHING, TOLD_ACCEPTED, TOLD_NOT_RUN, TOLD_UNKNOWN = range(4)
+NEW, SENT, APPLIED, LOST, DONE = range(5)
+TOLD_NOTHING, TOLD_ACCEPTED, TOLD_NOT_RUN, TOLD_UNKNOWN = range(4)
 
 SPEC = Spec(
     "acceptance",
@@ -20,34 +20,38 @@
     },
     clocks=(),
 )
-TOLD_FIRST = SPEC.mutation("acceptance told before the durable write", "accepted_kept")
-LOST_IS_NO = SPEC.mutation("lost answer told as not run", "not_run_is_true")
-QUEUED_FIRST = SPEC.mutation("job queued before its row is durable", "not_run_is_true")
+TELL_BEFORE_WRITE = SPEC.mutation(
+    "acceptance told before the durable write", "accepted_kept"
+)
+LOST_AS_NOT_RUN = SPEC.mutation("lost answer told as not run", "not_run_is_true")
+QUEUE_BEFORE_WRITE = SPEC.mutation(
+    "job queued before its row is durable", "not_run_is_true"
+)
 NOTICE_ONLY = SPEC.mutation("owner told by message alone", "accepted_found")
 
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """Nothing was sent."""
+    """The job has not been written and no message has been sent."""
     flags = ("row", "late", "notice", "queued", "started", "feed_read")
     parts = [z3.Not(s[n]) for n in flags]
-    return z3.And(s["stage"] == NEW, s["told"] == NOTHING, *parts)
+    return z3.And(s["stage"] == NEW, s["told"] == TOLD_NOTHING, *parts)
 
 
 @SPEC.action()
 def write_sent(s: State, m: str) -> Step:
     """The accepting instance writes the job's row."""
     changes = updates(("stage", SENT))
-    if m == TOLD_FIRST:
+    if m == TELL_BEFORE_WRITE:
         changes["told"] = z3.IntVal(TOLD_ACCEPTED)
-    if m == QUEUED_FIRST:
+    if m == QUEUE_BEFORE_WRITE:
         changes["notice"] = z3.BoolVal(True)
     return s["stage"] == NEW, changes
 
 
 @SPEC.action()
 def write_applied(s: State, _m: str) -> Step:
-    """The row becomes durable, in time or after the sender gave up."""
+    """The row becomes durable, in time or after the sender timed out."""
     in_time = s["stage"] == SENT
     return z3.Or(in_time, s["late"]), updates(
         ("row", z3.BoolVal(True)),
@@ -59,31 +63,31 @@
 
 @SPEC.action()
 def write_failed(s: State, m: str) -> Step:
-    """The table says that nothing was written."""
-    told = s["told"] if m == TOLD_FIRST else z3.IntVal(TOLD_NOT_RUN)
-    return s["stage"] == SENT, updates(("stage", OVER), ("told", told))
+    """The table reports that it did not write the row."""
+    told = s["told"] if m == TELL_BEFORE_WRITE else z3.IntVal(TOLD_NOT_RUN)
+    return s["stage"] == SENT, updates(("stage", DONE), ("told", told))
 
 
 @SPEC.action()
 def write_answered(s: State, _m: str) -> Step:
-    """The caller hears of the acceptance and the owner of the job."""
+    """The client is told of the acceptance; the owner is notified of the job."""
     return s["stage"] == APPLIED, updates(
-        ("stage", OVER), ("told", TOLD_ACCEPTED), ("notice", z3.BoolVal(True))
+        ("stage", DONE), ("told", TOLD_ACCEPTED), ("notice", z3.BoolVal(True))
     )
 
 
 @SPEC.action()
 def answer_lost(s: State, m: str) -> Step:
-    """The outcome is unknown and the write may still take effect."""
-    told = TOLD_NOT_RUN if m == LOST_IS_NO else TOLD_UNKNOWN
+    """The outcome is unknown and the write may still be applied."""
+    told = TOLD_NOT_RUN if m == LOST_AS_NOT_RUN else TOLD_UNKNOWN
     return z3.Or(s["stage"] == SENT, s["stage"] == APPLIED), updates(
-        ("stage", OVER), ("told", told), ("late", s["stage"] == SENT)
+        ("stage", DONE), ("told", told), ("late", s["stage"] == SENT)
     )
 
 
 @SPEC.action()
 def notice_received(s: State, _m: str) -> Step:
-    """The owner queues a job that it was told of."""
+    """The owner queues the job when it receives the notice."""
     return s["notice"], updates(
         ("notice", z3.BoolVal(False)), ("queued", z3.BoolVal(True))
     )
@@ -91,13 +95,13 @@
 
 @SPEC.action()
 def notice_lost(s: State, _m: str) -> Step:
-    """The message to the owner is lost."""
+    """The notice to the owner is lost."""
     return s["notice"], updates(("notice", z3.BoolVal(False)))
 
 
 @SPEC.action()
 def takeover(s: State, _m: str) -> Step:
-    """A new owner starts with an empty queue and reads the feed anew."""
+    """A new owner starts with an empty queue and reads the feed from the start."""
     return z3.BoolVal(True), updates(
         ("queued", z3.BoolVal(False)), ("feed_read", z3.BoolVal(False))
     )
@@ -105,7 +109,7 @@
 
 @SPEC.action()
 def feed_read(s: State, m: str) -> Step:
-    """The owner follows the change feed of the job rows."""
+    """The owner applies the change feed of the job rows."""
     queued = s["queued"] if m == NOTICE_ONLY else z3.Or(s["queued"], s["row"])
     return z3.BoolVal(True), updates(
         ("feed_read", z3.BoolVal(True)), ("queued", queued)
@@ -120,23 +124,23 @@
 
 @SPEC.invariant
 def accepted_kept(s: State) -> Expr:
-    """A job whose acceptance was told is in the table."""
+    """A job that was reported as accepted is in the table."""
     return z3.Implies(s["told"] == TOLD_ACCEPTED, s["row"])
 
 
 @SPEC.invariant
 def accepted_found(s: State) -> Expr:
-    """An owner that has read the feed has every job of its shard in its queue."""
+    """A stored job is queued once the owner has read the feed."""
     return z3.Implies(z3.And(s["row"], s["feed_read"]), s["queued"])
 
 
 @SPEC.invariant
 def not_run_is_true(s: State) -> Expr:
-    """A job that was refused as not run is never started."""
+    """A job that was reported as not run is never started."""
     return z3.Not(z3.And(s["told"] == TOLD_NOT_RUN, s["started"]))
 
 
 @SPEC.goal
 def accepted_and_started(s: State) -> Expr:
-    """A job was accepted and then started by an owner that read the feed."""
+    """A job was accepted and started, and the owner has read the feed."""
     return z3.And(s["told"] == TOLD_ACCEPTED, s["started"], s["feed_read"])
--- a/formal/bounded.py
+++ b/formal/bounded.py
@@ -1,7 +1,7 @@
 """Specifications as guarded actions, checked to a bounded depth and by induction.
 
-A step is one action followed by any passage of time, so a process may pause for
-any time between two of its steps, and every order of steps is covered.
+A step is one action followed by any passage of time. A process may therefore pause
+for any time between two of its steps, and every interleaving is covered.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 from marjoramgrade.decisions.ownership import DRIFT_MARGIN_MS
 
-# Each clock stays within this distance ahead of the common time, so two clocks
-# differ by at most DRIFT_MARGIN_MS over any interval.
+# Each clock is ahead of the common time by at most this much, so the lengths that
+# two clocks measure for one interval differ by at most DRIFT_MARGIN_MS.
 SKEW_MS = DRIFT_MARGIN_MS // 2
 NOW = "now"
 
@@ -26,7 +26,7 @@
 
 
 class Sort(enum.Enum):
-    """The sorts of state variables."""
+    """The z3 sort of a state variable."""
 
     INT = "int"
     BOOL = "bool"
@@ -34,26 +34,26 @@
 
 @attrs.frozen
 class State:
-    """The variables of one state; `s["until", "a"]` names `until_a`."""
+    """The variables of one state; `s["until", "a"]` is the variable `until_a`."""
 
     expression_by_name: Mapping[str, Expr]
 
     def __getitem__(self, key: str | tuple[str, ...]) -> Expr:
-        return self.expression_by_name[name_of(key)]
+        return self.expression_by_name[variable_name(key)]
 
 
-def name_of(key: str | tuple[str, ...]) -> str:
-    """Return the variable name of a key."""
+def variable_name(key: str | tuple[str, ...]) -> str:
+    """Return the variable name for a key."""
     return key if isinstance(key, str) else "_".join(key)
 
 
 def updates(*pairs: tuple[str | tuple[str, ...], Expr]) -> dict[str, Expr]:
-    """Return the next value by variable name."""
-    return {name_of(key): value for key, value in pairs}
+    """Return the next values by variable name."""
+    return {variable_name(key): value for key, value in pairs}
 
 
 class Verdict(enum.Enum):
-    """What a check found."""
+    """The verdict of a check."""
 
     HOLDS = "holds"
     VIOLATED = "violated"
@@ -68,9 +68,9 @@
     """The outcome of one check.
 
     Attributes:
-        verdict: What was found.
-        depth: Steps explored, or the length of the trace.
-        seconds: Time taken.
+        verdict: Verdict of the check.
+        depth: Number of steps explored, or the length of the run that was found.
+        seconds: Duration of the check.
         trace: Actions of the run that was found, each with the common time.
     """
 
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class Action:
-    """One action, instantiated for its arguments."""
+    """An action bound to its arguments."""
 
     name: str
     function: Callable[..., Step]
@@ -95,17 +95,18 @@
 
 @attrs.define
 class Spec:
-    """A specification; decorators register its parts.
+    """A specification whose parts are registered by decorators.
 
     Attributes:
         name: Name in the table of results.
-        sort_by_name: The state variables.
-        clocks: Variables that are clocks of processes.
-        init: The initial states.
+        sort_by_name: Sort of each state variable, by name.
+        clocks: Names of the variables that are clocks of processes, in ms.
+        actions: The actions, one for each choice of arguments.
+        init: Predicate of the initial states.
         invariants: Properties of every reachable state.
         goals: Properties of some reachable state.
         lemmas: Conjuncts of the inductive invariant.
-        mutations: Names of the mutations that the actions understand.
+        mutations: Name of the invariant that each mutation must violate, by mutation.
     """
 
     name: str
@@ -119,7 +120,7 @@
     mutations: dict[str, str] = attrs.field(factory=dict)
 
     def initial(self, function: Callable[[State], Expr]) -> Callable[[State], Expr]:
-        """Register the initial states."""
+        """Register the predicate of the initial states."""
         self.init = function
         return function
 
@@ -162,7 +163,7 @@
         return State({n: make[k](f"{n}@{index}") for n, k in sorts.items()})
 
     def clocks_valid(self, state: State) -> Expr:
-        """Return that every clock is within the skew of the common time."""
+        """Return the constraint that every clock is within the skew."""
         now = state[NOW]
         ahead = [
             z3.And(state[c] >= now, state[c] <= now + SKEW_MS) for c in self.clocks
@@ -172,7 +173,7 @@
     def step(
         self, before: State, after: State, index: int, mutation: str
     ) -> tuple[Expr, list[Expr]]:
-        """Return the transition relation and one chosen-flag for each action."""
+        """Return the transition relation and, for each action, whether it is chosen."""
         chosen = [z3.Bool(f"act{n}@{index}") for n in range(len(self.actions))]
         parts = [z3.PbEq([(flag, 1) for flag in chosen], 1)]
         writers: dict[str, list[Expr]] = {name: [] for name in self.sort_by_name}
@@ -190,15 +191,15 @@
 
 
 def explore(
-    spec: Spec, wanted: Callable[[State], Expr], depth: int, mutation: str
+    spec: Spec, predicate: Callable[[State], Expr], depth: int, mutation: str
 ) -> tuple[int, tuple[str, ...]] | None:
-    """Search every order of steps for a state, shortest runs first.
+    """Search all interleavings for a matching state, shortest runs first.
 
     Args:
         spec: The specification.
-        wanted: The state that is searched for.
-        depth: Largest number of steps.
-        mutation: Mutation in force, or empty.
+        predicate: Condition that a matching state satisfies.
+        depth: Maximum number of steps.
+        mutation: Active mutation; empty for none.
 
     Returns:
         Length and actions of a shortest run, or None if there is none.
@@ -209,13 +210,15 @@
     states, flags = [state], []
     for length in range(depth + 1):
         target = z3.Bool(f"target@{length}")
-        solver.add(z3.Implies(target, wanted(state)))
+        solver.add(z3.Implies(target, predicate(state)))
         answer = solver.check(target)
         if answer == z3.sat:
             return length, read_trace(spec, solver.model(), states, flags)
         if answer != z3.unsat:
-            raise TimeoutError(f"{spec.name}: z3 gave no answer at depth {length}")
-        solver.add(z3.Not(wanted(state)))
+            raise TimeoutError(
+                f"{spec.name}: z3 returned neither sat nor unsat at depth {length}"
+            )
+        solver.add(z3.Not(predicate(state)))
         if length < depth:
             after = spec.state(length + 1)
             relation, chosen = spec.step(state, after, length, mutation)
@@ -229,7 +232,7 @@
 def read_trace(
     spec: Spec, model: z3.ModelRef, states: list[State], flags: list[list[Expr]]
 ) -> tuple[str, ...]:
-    """Return the actions of a run with the common time at which each happens."""
+    """Return the actions of a run, each with the common time of the action."""
     lines = []
     for state, chosen in zip(states, flags, strict=False):
         at_ms = model.eval(state[NOW], model_completion=True)
@@ -240,7 +243,7 @@
 
 
 def check_invariant(spec: Spec, name: str, depth: int, mutation: str = "") -> Result:
-    """Check that no run of at most `depth` steps violates an invariant."""
+    """Check that no run of up to `depth` steps violates an invariant."""
     if mutation and mutation not in spec.mutations:
         raise ValueError(f"{spec.name} has no mutation {mutation!r}")
     started = time.monotonic()
@@ -268,7 +271,7 @@
 
 
 def check_goal(spec: Spec, name: str, depth: int) -> Result:
-    """Check that some run of at most `depth` steps reaches a goal."""
+    """Check that some run of up to `depth` steps reaches a goal."""
     started = time.monotonic()
     found = explore(spec, spec.goals[name], depth, "")
     seconds = time.monotonic() - started
--- a/formal/check.py
+++ b/formal/check.py
@@ -26,8 +26,9 @@
     check_invariant,
 )
 
-# Steps to which CI explores every order. Each further step costs about twice the
-# time of the one before, and all checks together must stay under 90 s on a core.
+# Number of steps to which CI explores every interleaving. Each further step takes
+# about twice as long as the previous one, and all checks together must stay under
+# 90 s on one core.
 OWNERSHIP_DEPTH = 6
 TASKS_DEPTH = 8
 GRANTS_DEPTH = 6
@@ -35,9 +36,9 @@
 REQUESTS_DEPTH = 8
 ACCEPTANCE_DEPTH = 12
 TAKEOVER_DEPTH = 24
-# Longest run to a goal or to the violation that a mutation causes.
+# Maximum length of a run to a goal or to the violation that a mutation causes.
 WITNESS_DEPTH = 13
-# Further steps of `--deep`, which CI does not run.
+# Steps that `--deep` adds; CI does not run it.
 DEEP_STEPS = 2
 
 
@@ -66,8 +67,8 @@
 
     Attributes:
         bound: The specification and its depth.
-        subject: The invariant or goal, or empty for all invariants.
-        mutation: The mutation in force, or empty.
+        subject: The invariant or goal; empty for all invariants.
+        mutation: The active mutation; empty for none.
         expected: The verdict of a correct specification.
     """
 
@@ -81,7 +82,7 @@
         return ": ".join(part for part in parts if part)
 
     def run(self, further_steps: int = 0) -> Result:
-        """Run the check, with further steps where all orders are explored."""
+        """Run the check; `further_steps` extends only the check of all invariants."""
         spec = self.bound.spec
         if self.expected is Verdict.HOLDS:
             return check_all_invariants(spec, self.bound.depth + further_steps)
@@ -106,7 +107,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print the table; return 1 if a verdict is not the expected one."""
+    """Print the table; return 1 if any verdict differs from the expected one."""
     further_steps = DEEP_STEPS if "--deep" in arguments else 0
     unexpected, seconds = 0, 0.0
     print(f"{'property':<46} {'mutation':<48} {'bound':>5} {'verdict':<13} seconds")
--- a/formal/config.py
+++ b/formal/config.py
@@ -1,10 +1,10 @@
 """Versions of the configuration at two entry instances.
 
-The document has two parts, so that a lost update and a partly applied document
-can be seen. Versions reach an instance by reading the table and by pushes, which
-may be delayed for any time. An instance that restarts has forgotten everything.
-A change is accepted when the operator is told so. A promise is the statement of
-the only peer that it knows no newer document.
+The document has two parts, which makes lost updates and partly applied documents
+visible. An instance receives versions by reading the table and by pushes, which may
+be delayed for any time. A restart clears an instance's whole state. A change counts
+as accepted from the time at which the operator is told so. A promise is a
+time-limited guarantee of the only peer that it knows no newer document.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 INSTANCES = ("a", "b")
 PEER = {"a": "b", "b": "a"}
-EACH = tuple((i,) for i in INSTANCES)
+EACH_INSTANCE = tuple((i,) for i in INSTANCES)
 # From docs/design.md, question 3 and invariant 11.
 FRESH_MS = 5_000
 IN_FORCE_MS = 8_000
 FIRST_VERSION = 1
 LAST_VERSION = 3
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
-# Progress of a read, and of a promise that a peer was asked for.
-ASKED, ANSWERED = 1, 2
+# Progress of a read or of a request for a promise, after IDLE.
+ASKED, RESPONDED = 1, 2
 
 INTS = (
     *("applied", "applied_p", "applied_q", "highest", "fresh_until"),
@@ -46,22 +46,24 @@
     clocks=("clock_a", "clock_b"),
 )
 NO_CAS = SPEC.mutation("configuration without compare-and-set", "no_change_lost")
-OLDER = SPEC.mutation("older version accepted", "never_reverts")
-PARTIAL = SPEC.mutation("document applied in part", "applied_whole")
-FROM_ANSWER = SPEC.mutation("freshness counted from the answer", "in_force")
-FORGETS = SPEC.mutation("restarted instance promises", "in_force")
-COPIED = SPEC.mutation("restarted instance confirmed by a promise", "in_force")
-NOT_APPLIED = SPEC.mutation("writer applies at its next read", "in_force")
-NO_VERSION = SPEC.mutation("promise without the document", "in_force")
+ACCEPT_OLDER = SPEC.mutation("older version accepted", "never_reverts")
+APPLY_PART = SPEC.mutation("document applied in part", "applied_whole")
+COUNT_FROM_RESPONSE = SPEC.mutation("freshness counted from the answer", "in_force")
+PROMISE_BEFORE_READ = SPEC.mutation("restarted instance promises", "in_force")
+CONFIRM_BEFORE_READ = SPEC.mutation(
+    "restarted instance confirmed by a promise", "in_force"
+)
+APPLY_AT_NEXT_READ = SPEC.mutation("writer applies at its next read", "in_force")
+PROMISE_WITHOUT_DOCUMENT = SPEC.mutation("promise without the document", "in_force")
 NOT_TOLD = -1
 
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """Both instances have applied the first version and know it to be current.
+    """Both instances have applied and confirmed the first version.
 
     Instance a may just have told its operator that the next version is accepted. A
-    push of the first version to instance a may be under way.
+    push of the first version to instance a may be in flight.
     """
     changed = z3.And(s["version"] == FIRST_VERSION + 1, s["told_at_2"] == 0)
     unchanged = z3.And(s["version"] == FIRST_VERSION, s["told_at_2"] == NOT_TOLD)
@@ -82,16 +84,16 @@
 
 
 def serves(s: State, i: str) -> Expr:
-    """Return whether an instance does work that needs a current configuration."""
+    """Return whether an instance does work that requires a current configuration."""
     return z3.And(s["applied", i] > 0, s["clock", i] < s["fresh_until", i])
 
 
-def _offer(
+def _apply_if_newer(
     s: State, m: str, i: str, source: str, valid: Expr | bool = True
 ) -> dict[str, Expr]:
-    """Apply an offered document whole if it is newer than the applied one."""
+    """Apply a received document as a whole if it is newer than the applied one."""
     version = s[f"{source}_version", i]
-    newer = z3.And(valid, z3.Or(m == OLDER, version > s["applied", i]))
+    newer = z3.And(valid, z3.Or(m == ACCEPT_OLDER, version > s["applied", i]))
     higher = z3.And(newer, version > s["highest", i])
     highest = z3.If(higher, version, s["highest", i])
     changes = updates(
@@ -100,59 +102,63 @@
         (("applied_q", i), z3.If(newer, s[f"{source}_q", i], s["applied_q", i])),
         (("highest", i), highest),
     )
-    if m == PARTIAL:
+    if m == APPLY_PART:
         del changes[f"applied_q_{i}"]
     return changes
 
 
-def _extend(s: State, i: str, confirmed: Expr, counted: Expr) -> Expr:
-    until = counted + FRESH_MS
+def _extended_freshness(s: State, i: str, confirmed: Expr, counted_from: Expr) -> Expr:
+    until = counted_from + FRESH_MS
     later = z3.And(confirmed, until > s["fresh_until", i])
     return z3.If(later, until, s["fresh_until", i])
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_asked(s: State, _m: str, i: str) -> Step:
-    """An instance asks the table for the document."""
+    """An instance sends a read of the document to the table."""
     return s["reading", i] == IDLE, updates(
         (("reading", i), ASKED), (("read_asked", i), s["clock", i])
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_served(s: State, _m: str, i: str) -> Step:
-    """The table answers; the answer is under way."""
+    """The table serves the read; the response is in flight."""
     return s["reading", i] == ASKED, updates(
-        (("reading", i), ANSWERED),
+        (("reading", i), RESPONDED),
         (("read_version", i), s["version"]),
         (("read_p", i), s["p"]),
         (("read_q", i), s["q"]),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_answered(s: State, m: str, i: str) -> Step:
-    """The answer confirms the configuration from before it was asked for."""
-    changes = _offer(s, m, i, "read")
-    counted = s["clock", i] if m == FROM_ANSWER else s["read_asked", i]
-    # A change of unknown outcome is dead once the row has another version.
-    settled = z3.And(
+    """The response confirms the configuration as of the time the read was sent."""
+    changes = _apply_if_newer(s, m, i, "read")
+    counted_from = s["clock", i] if m == COUNT_FROM_RESPONSE else s["read_asked", i]
+    # A change of unknown outcome can no longer be applied once the row has
+    # reached the version that the change would write.
+    resolved = z3.And(
         s["write", i] == UNKNOWN, s["read_version", i] >= s["write_version", i]
     )
     changes.update(
         updates(
             (("reading", i), IDLE),
             (("loaded", i), z3.BoolVal(True)),
-            (("write", i), z3.If(settled, IDLE, s["write", i])),
-            (("fresh_until", i), _extend(s, i, z3.BoolVal(True), counted)),
+            (("write", i), z3.If(resolved, IDLE, s["write", i])),
+            (
+                ("fresh_until", i),
+                _extended_freshness(s, i, z3.BoolVal(True), counted_from),
+            ),
         )
     )
-    return s["reading", i] == ANSWERED, changes
+    return s["reading", i] == RESPONDED, changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def change_sent(s: State, _m: str, i: str) -> Step:
-    """An operator at a changes part p, or one at b changes part q."""
+    """The operator at instance a changes part p; the operator at b changes part q."""
     ready = z3.And(s["write", i] == IDLE, s["applied", i] > 0)
     # Bounds the number of versions.
     ready = z3.And(ready, s["version"] < LAST_VERSION)
@@ -164,9 +170,9 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def change_applied(s: State, m: str, i: str) -> Step:
-    """The table applies a change or rejects it, in time or late."""
+    """The table applies or rejects a change, in time or late."""
     accepted = s["version"] + 1 == s["write_version", i]
     if m == NO_CAS:
         accepted = s["version"] < LAST_VERSION
@@ -183,11 +189,13 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def change_answered(s: State, m: str, i: str) -> Step:
     """The writer applies its accepted change and tells the operator."""
     accepted = s["write", i] == APPLIED
-    changes = {} if m == NOT_APPLIED else _offer(s, m, i, "write", accepted)
+    changes = (
+        {} if m == APPLY_AT_NEXT_READ else _apply_if_newer(s, m, i, "write", accepted)
+    )
     changes[f"write_{i}"] = z3.IntVal(IDLE)
     for n in range(2, LAST_VERSION + 1):
         told = z3.And(accepted, s["write_version", i] == n)
@@ -195,15 +203,15 @@
     return z3.Or(accepted, s["write", i] == REJECTED), changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def change_answer_lost(s: State, _m: str, i: str) -> Step:
-    """The outcome is unknown, and a change that is under way may land late."""
+    """The outcome is unknown; a change that is in flight may be applied late."""
     waiting = z3.Or(*(s["write", i] == w for w in (SENT, APPLIED, REJECTED)))
     ready = z3.And(waiting, z3.Not(s["late", i]))
     return ready, updates((("write", i), UNKNOWN), (("late", i), s["write", i] == SENT))
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def push_sent(s: State, _m: str, i: str) -> Step:
     """An instance pushes its document to the peer."""
     return z3.And(s["applied", i] > 0, z3.Not(s["pushed", PEER[i]])), updates(
@@ -214,48 +222,50 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def push_received(s: State, m: str, i: str) -> Step:
-    """A push is applied if it is newer; it confirms nothing."""
-    changes = _offer(s, m, i, "push")
+    """A push is applied if it is newer; it does not extend the freshness."""
+    changes = _apply_if_newer(s, m, i, "push")
     changes[f"pushed_{i}"] = z3.BoolVal(False)
     return s["pushed", i], changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def promise_asked(s: State, _m: str, i: str) -> Step:
-    """An instance that cannot reach the table asks its peer for a promise."""
+    """An instance that can't reach the table asks its peer for a promise."""
     return s["asking", i] == IDLE, updates(
         (("asking", i), ASKED), (("promise_asked", i), s["clock", i])
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def promise_given(s: State, m: str, i: str) -> Step:
-    """The peer of i promises if it has read the table since it started."""
+    """The peer of instance i promises if it has read the table since its start."""
     peer = PEER[i]
-    known = s["applied", peer] > 0 if m == FORGETS else s["loaded", peer]
+    known = s["applied", peer] > 0 if m == PROMISE_BEFORE_READ else s["loaded", peer]
     return z3.And(s["asking", i] == ASKED, known), updates(
-        (("asking", i), ANSWERED),
+        (("asking", i), RESPONDED),
         (("promise_version", i), s["applied", peer]),
         (("promise_p", i), s["applied_p", peer]),
         (("promise_q", i), s["applied_q", peer]),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def promise_received(s: State, m: str, i: str) -> Step:
-    """A promise confirms the newer of two documents, if this one was read."""
-    changes = {} if m == NO_VERSION else _offer(s, m, i, "promise")
-    known = z3.BoolVal(True) if m == COPIED else s["loaded", i]
-    until = _extend(s, i, known, s["promise_asked", i])
+    """A promise confirms the newer document if the instance has read the table."""
+    changes = (
+        {} if m == PROMISE_WITHOUT_DOCUMENT else _apply_if_newer(s, m, i, "promise")
+    )
+    known = z3.BoolVal(True) if m == CONFIRM_BEFORE_READ else s["loaded", i]
+    until = _extended_freshness(s, i, known, s["promise_asked", i])
     changes.update(updates((("asking", i), IDLE), (("fresh_until", i), until)))
-    return s["asking", i] == ANSWERED, changes
+    return s["asking", i] == RESPONDED, changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def restarted(s: State, _m: str, i: str) -> Step:
-    """An instance restarts and forgets all; its pending change may still land."""
+    """An instance restarts without state; its pending change may still be applied."""
     return z3.Not(s["late", i]), updates(
         *(((n, i), 0) for n in ("applied", "applied_p", "applied_q", "fresh_until")),
         *(((n, i), IDLE) for n in ("reading", "asking", "write")),
@@ -266,13 +276,13 @@
 
 @SPEC.invariant
 def no_change_lost(s: State) -> Expr:
-    """Every accepted change is in the document."""
+    """The document contains every accepted change."""
     return z3.And(s["p"] == s["changes_p"], s["q"] == s["changes_q"])
 
 
 @SPEC.invariant
 def never_reverts(s: State) -> Expr:
-    """An instance never serves under an older version than before."""
+    """An instance never serves with an older version than it had before."""
     return z3.And(
         *(
             z3.Implies(serves(s, i), s["applied", i] >= s["highest", i])
@@ -283,7 +293,7 @@
 
 @SPEC.invariant
 def applied_whole(s: State) -> Expr:
-    """Each version adds one change, and an instance has all of them or none."""
+    """Each version adds one change; an instance has every change up to its version."""
     return z3.And(
         *(
             z3.Implies(
@@ -298,7 +308,7 @@
 
 @SPEC.invariant
 def in_force(s: State) -> Expr:
-    """No instance serves without a version that was accepted 8 s ago."""
+    """No instance serves with a version older than one accepted over 8 s ago."""
     parts = []
     for i in INSTANCES:
         for n in range(2, LAST_VERSION + 1):
@@ -310,14 +320,14 @@
 
 @SPEC.goal
 def changed_twice(s: State) -> Expr:
-    """Both operators' changes are in the document and one instance has them."""
+    """The document contains both operators' changes and instance a applied them."""
     changed = z3.And(s["changes_p"] == 1, s["changes_q"] == 1)
     return z3.And(changed, s["applied", "a"] == LAST_VERSION, serves(s, "a"))
 
 
 @SPEC.goal
 def change_in_force(s: State) -> Expr:
-    """Both instances serve under a change that an operator was told of."""
+    """Both instances serve with a change that was reported as accepted."""
     applied = [s["applied", i] == FIRST_VERSION + 1 for i in INSTANCES]
     told = s["told_at_2"] != NOT_TOLD
     return z3.And(*applied, told, serves(s, "a"), serves(s, "b"))
@@ -325,5 +335,5 @@
 
 @SPEC.goal
 def confirmed_again(s: State) -> Expr:
-    """An instance serves after 8 s on the strength of a read or a promise."""
+    """An instance serves after 8 s because a read or a promise confirmed it."""
     return z3.And(s[NOW] > IN_FORCE_MS, serves(s, "a"))
