--- a/formal/grants.py
+++ b/formal/grants.py
@@ -1,7 +1,7 @@
 """Grants of one team's limit to two shards, through takeovers of both.
 
-The row `grants/{team}` holds the amount of each shard. An owner acts on the row
-only as it has read it. Tasks that already run outlive their owner.
+The row `grants/{team}` holds the amount granted to each shard. An owner knows the
+row only from its reads and writes. Running tasks continue after a takeover.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from formal.bounded import Expr, Sort, Spec, State, Step, updates
 
 SHARDS = ("s", "r")
-OTHER = {"s": "r", "r": "s"}
-EACH = tuple((k,) for k in SHARDS)
+OTHER_SHARD = {"s": "r", "r": "s"}
+EACH_SHARD = tuple((k,) for k in SHARDS)
 LIMIT = 2
-# Progress of the transaction that an owner has outstanding.
+# Progress of an owner's outstanding transaction.
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
 UNREAD = -1
 
@@ -37,19 +37,21 @@
 )
 NO_CAS = SPEC.mutation("grant written without compare-and-set", "usable_in_limit")
 NO_EPOCH = SPEC.mutation("grant written without an epoch check", "usable_in_limit")
-GIVEN_FIRST = SPEC.mutation("grant given back before use dropped", "usable_in_limit")
-USE_IGNORED = SPEC.mutation("grant in use given back", "shard_in_grant")
-GIVEN_UNKNOWN = SPEC.mutation(
+GIVE_BEFORE_DROP = SPEC.mutation(
+    "grant given back before use dropped", "usable_in_limit"
+)
+GIVE_IN_USE = SPEC.mutation("grant in use given back", "shard_in_grant")
+GIVE_UNRECONCILED = SPEC.mutation(
     "grant given back before reconciliation", "shard_in_grant"
 )
-TAKEN_BACK = SPEC.mutation("lost give-back taken as not done", "usable_in_limit")
-OLD_READ = SPEC.mutation("older grant row adopted", "usable_in_limit")
-START_UNKNOWN = SPEC.mutation("start before use is known", "team_limit")
+LOST_AS_FAILED = SPEC.mutation("lost give-back taken as not done", "usable_in_limit")
+ADOPT_OLDER = SPEC.mutation("older grant row adopted", "usable_in_limit")
+START_UNRECONCILED = SPEC.mutation("start before use is known", "team_limit")
 
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """Shard s holds the whole limit, and may have asked to give a unit back."""
+    """Shard s holds the whole limit and may have sent the return of one unit."""
     parts = [s["version"] == 1, s["used", "s"] >= 0, s["used", "r"] == 0]
     asked = z3.And(
         s["write", "s"] == SENT,
@@ -74,58 +76,59 @@
     return z3.And(*parts)
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def read_served(s: State, _m: str, k: str) -> Step:
-    """The table answers a read; the answer is under way."""
+    """The table serves a read; the response is in flight."""
     return z3.Not(s["reading", k]), updates(
         (("reading", k), z3.BoolVal(True)),
         (("read_version", k), s["version"]),
         (("read_grant", k), s["grant", k]),
-        (("read_other", k), s["grant", OTHER[k]]),
+        (("read_other", k), s["grant", OTHER_SHARD[k]]),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def read_answered(s: State, m: str, k: str) -> Step:
-    """The owner adopts a newer row unless its own write is outstanding."""
+    """The owner adopts a newer row unless its own write is unresolved."""
     newer = s["read_version", k] > s["known", k]
-    if m == OLD_READ:
+    if m == ADOPT_OLDER:
         newer = z3.BoolVal(True)
-    # A row newer than the check of an unknown write settles that write.
-    settled = z3.And(
+    # A row newer than the version that a write of unknown outcome checks resolves
+    # that write.
+    resolved = z3.And(
         s["write", k] == UNKNOWN, s["read_version", k] > s["write_check", k]
     )
-    adopted = z3.And(newer, z3.Or(s["write", k] == IDLE, settled))
+    adopted = z3.And(newer, z3.Or(s["write", k] == IDLE, resolved))
     return s["reading", k], updates(
         (("reading", k), z3.BoolVal(False)),
-        (("write", k), z3.If(settled, IDLE, s["write", k])),
+        (("write", k), z3.If(resolved, IDLE, s["write", k])),
         (("known", k), z3.If(adopted, s["read_version", k], s["known", k])),
         (("known_other", k), z3.If(adopted, s["read_other", k], s["known_other", k])),
         (("usable", k), z3.If(adopted, s["read_grant", k], s["usable", k])),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def take_sent(s: State, _m: str, k: str) -> Step:
-    """An owner with demand asks for one unit that nobody holds."""
+    """An owner with demand requests one unit that no shard holds."""
     ready = z3.And(s["write", k] == IDLE, s["known", k] != UNREAD)
     free = s["usable", k] + s["known_other", k] < LIMIT
     return z3.And(ready, free), _send(s, k, s["usable", k] + 1, giving=False)
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def give_sent(s: State, m: str, k: str) -> Step:
-    """An owner stops using one unit and then asks to give it back."""
+    """An owner stops using one unit and then sends its return."""
     in_use = s["used", k] + s["starting", k]
     ready = [s["write", k] == IDLE, s["known", k] != UNREAD, s["usable", k] > 0]
-    if m != GIVEN_UNKNOWN:
+    if m != GIVE_UNRECONCILED:
         ready.append(s["reconciled", k])
-    if m == GIVEN_UNKNOWN:
+    if m == GIVE_UNRECONCILED:
         ready.append(z3.Or(z3.Not(s["reconciled", k]), in_use < s["usable", k]))
-    elif m != USE_IGNORED:
+    elif m != GIVE_IN_USE:
         ready.append(in_use < s["usable", k])
     changes = _send(s, k, s["usable", k] - 1, giving=True)
-    if m != GIVEN_FIRST:
+    if m != GIVE_BEFORE_DROP:
         changes[f"usable_{k}"] = s["usable", k] - 1
     return z3.And(*ready), changes
 
@@ -141,18 +144,18 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def write_applied(s: State, m: str, k: str) -> Step:
-    """The table applies a transaction or rejects it."""
+    """The table applies or rejects a transaction."""
     accepted = _accepted(s, m, k, "write")
     changes = _apply(s, k, "write", accepted)
     changes[f"write_{k}"] = z3.If(accepted, APPLIED, REJECTED)
     return s["write", k] == SENT, changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def late_write_applied(s: State, m: str, k: str) -> Step:
-    """A transaction of the previous owner reaches the table."""
+    """The table processes a delayed transaction of the previous owner."""
     changes = _apply(s, k, "late", _accepted(s, m, k, "late"))
     changes[f"late_sent_{k}"] = z3.BoolVal(False)
     return s["late_sent", k], changes
@@ -172,15 +175,15 @@
     return updates(
         ("version", s["version"] + z3.If(accepted, 1, 0)),
         (("grant", k), z3.If(accepted, own, s["grant", k])),
-        (("grant", OTHER[k]), z3.If(accepted, other, s["grant", OTHER[k]])),
+        (("grant", OTHER_SHARD[k]), z3.If(accepted, other, s["grant", OTHER_SHARD[k]])),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def write_answered(s: State, _m: str, k: str) -> Step:
-    """The answer arrives; after a rejection the owner waits for a newer row."""
+    """The response arrives; after a rejection the owner waits for a newer row."""
     accepted = s["write", k] == APPLIED
-    # The version follows the check, because the check held.
+    # The check passed, so the written version is the checked one plus 1.
     version = s["write_check", k] + 1
     return z3.Or(accepted, s["write", k] == REJECTED), updates(
         (("write", k), IDLE),
@@ -189,26 +192,26 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def answer_lost(s: State, m: str, k: str) -> Step:
-    """The answer is lost; what was given back stays out of use."""
+    """The response is lost; a returned unit stays unused."""
     waiting = z3.Or(s["write", k] == APPLIED, s["write", k] == REJECTED)
     changes = updates((("write", k), UNKNOWN))
-    if m == TAKEN_BACK:
+    if m == LOST_AS_FAILED:
         restored = s["usable", k] + z3.If(s["giving", k], 1, 0)
         changes = updates((("write", k), IDLE), (("usable", k), restored))
     return waiting, changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def write_resent(s: State, _m: str, k: str) -> Step:
-    """A transaction of unknown outcome is sent again unchanged."""
+    """The owner resends a transaction of unknown outcome unchanged."""
     return s["write", k] == UNKNOWN, updates((("write", k), SENT))
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def takeover(s: State, _m: str, k: str) -> Step:
-    """A new owner knows nothing; messages of the old one are under way."""
+    """A new owner starts without state; the old owner's write may be in flight."""
     changes = updates(
         (("epoch", k), s["epoch", k] + 1),
         (("usable", k), 0),
@@ -223,66 +226,68 @@
     return z3.Not(s["late_sent", k]), changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def reconciled(s: State, _m: str, k: str) -> Step:
-    """Each worker is confirmed or lapsed; starts of older epochs are refused."""
+    """Every worker is confirmed or lapsed, so starts of older epochs are refused."""
     return z3.Not(s["reconciled", k]), updates(
         (("reconciled", k), z3.BoolVal(True)), (("starting", k), 0)
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def start_sent(s: State, m: str, k: str) -> Step:
-    """An owner starts a task within what it may use."""
-    room = s["used", k] + s["starting", k] < s["usable", k]
-    if m == START_UNKNOWN:
-        # The new owner counts from zero.
-        room = z3.Or(room, z3.And(z3.Not(s["reconciled", k]), s["usable", k] > 0))
+    """An owner sends a start if the usable grant has free capacity."""
+    has_capacity = s["used", k] + s["starting", k] < s["usable", k]
+    if m == START_UNRECONCILED:
+        # The new owner assumes that nothing is in use.
+        has_capacity = z3.Or(
+            has_capacity, z3.And(z3.Not(s["reconciled", k]), s["usable", k] > 0)
+        )
     else:
-        room = z3.And(room, s["reconciled", k])
-    return room, updates((("starting", k), s["starting", k] + 1))
+        has_capacity = z3.And(has_capacity, s["reconciled", k])
+    return has_capacity, updates((("starting", k), s["starting", k] + 1))
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def start_received(s: State, _m: str, k: str) -> Step:
-    """A worker starts the task; before reconciliation for an old owner too."""
+    """A worker starts the task; until reconciliation also for the old owner."""
     return s["starting", k] > 0, updates(
         (("starting", k), s["starting", k] - 1), (("used", k), s["used", k] + 1)
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_SHARD)
 def task_ended(s: State, _m: str, k: str) -> Step:
-    """A task ends."""
+    """A running task ends."""
     return s["used", k] > 0, updates((("used", k), s["used", k] - 1))
 
 
 @SPEC.invariant
 def team_limit(s: State) -> Expr:
-    """The team never runs more than its limit."""
+    """The team never runs more tasks than its limit."""
     return s["used", "s"] + s["used", "r"] <= LIMIT
 
 
 @SPEC.invariant
 def usable_in_limit(s: State) -> Expr:
-    """Two owners together never allow more than the limit."""
+    """The owners of both shards together never allow more than the limit."""
     return s["usable", "s"] + s["usable", "r"] <= LIMIT
 
 
 @SPEC.invariant
 def shard_in_grant(s: State) -> Expr:
-    """No shard runs or is about to run more than its grant in the table."""
+    """The running and starting tasks of a shard are within its stored grant."""
     return z3.And(*(s["used", k] + s["starting", k] <= s["grant", k] for k in SHARDS))
 
 
 @SPEC.goal
 def moved_and_used(s: State) -> Expr:
-    """A grant moved to the other shard and both shards run a task."""
+    """One unit moved to the other shard and both shards run a task."""
     return z3.And(s["used", "s"] == 1, s["used", "r"] == 1)
 
 
 @SPEC.goal
 def moved_after_takeover(s: State) -> Expr:
-    """A new owner gave part of the grant back."""
+    """A new owner returned part of the grant."""
     known = z3.And(s["known", "s"] == s["version"], s["usable", "s"] == 1)
     return z3.And(s["epoch", "s"] == 2, s["grant", "s"] == 1, known)
--- a/formal/ownership.py
+++ b/formal/ownership.py
@@ -1,8 +1,8 @@
 """Ownership of one shard by two instances through the table.
 
-Every table operation takes three steps: a read is asked, served and answered, and
-a write is sent, applied and answered. Answers may be lost, and a write
-that was given up may still take effect at any later time.
+Every table operation takes three steps: the request is sent, the table processes it
+and the response arrives. Responses may be lost, and a write that timed out may still
+be applied at any later time.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 OWNER_NUMBER = {"a": 1, "b": 2}
 RELEASED = 0
-EACH = tuple((i,) for i in OWNER_NUMBER)
-# Progress of the write that an instance has outstanding.
+EACH_INSTANCE = tuple((i,) for i in OWNER_NUMBER)
+# Progress of an instance's outstanding write.
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
 # Progress of a read, after IDLE.
 ASKED, SERVED = 1, 2
@@ -34,7 +34,7 @@
     "ownership",
     {
         **dict.fromkeys(("row_owner", "row_epoch", "row_version"), Sort.INT),
-        # The write id of the row, the next free id, and the time of the last
+        # The write id of the row, the next free write id, and the time of the last
         # write, which only the lemmas use.
         **dict.fromkeys(("row_id", "next_id", "row_at"), Sort.INT),
         **{f"{name}_{i}": Sort.INT for name in INTS for i in OWNER_NUMBER},
@@ -43,19 +43,19 @@
     clocks=("clock_a", "clock_b"),
 )
 NO_CAS = SPEC.mutation("write without compare-and-set", "one_owner_per_epoch")
-FROM_ANSWER = SPEC.mutation("renewal counted from the answer", "one_holder")
-FROM_ASKED = SPEC.mutation("candidate counts from its question", "one_holder")
+COUNT_FROM_RESPONSE = SPEC.mutation("renewal counted from the answer", "one_holder")
+COUNT_FROM_REQUEST = SPEC.mutation("candidate counts from its question", "one_holder")
 NO_MARGIN = SPEC.mutation("no drift margin", "one_holder")
-ASSUMED = SPEC.mutation("lost answer taken as success", "one_holder")
-RELEASE_FIRST = SPEC.mutation("row cleared before the holder stops", "one_holder")
-NO_WAIT = SPEC.mutation("takeover before the lease lapsed", "one_holder")
+LOST_AS_SUCCESS = SPEC.mutation("lost answer taken as success", "one_holder")
+CLEAR_BEFORE_STOP = SPEC.mutation("row cleared before the holder stops", "one_holder")
+TAKE_BEFORE_LAPSE = SPEC.mutation("takeover before the lease lapsed", "one_holder")
 
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """The shard is released, or instance a holds it and may have asked to renew.
+    """The shard is released, or instance a holds it and may have sent a renewal.
 
-    Each instance may have read the row, or may have asked for it at any time before.
+    Each instance may have read the row or may have sent a read at any earlier time.
     """
 
     def seen(i: str) -> Expr:
@@ -66,7 +66,7 @@
             s["since", i] == s["clock", i],
         )
 
-    quiet = [
+    reads = [
         z3.And(
             z3.Or(s["seen_version", i] == -1, seen(i)),
             z3.Or(s["reading", i] == IDLE, s["reading", i] == ASKED),
@@ -95,7 +95,7 @@
         idle, s["row_owner"] == RELEASED, s["epoch", "a"] == 0, s["until", "a"] == 0
     )
     return z3.And(
-        *quiet,
+        *reads,
         z3.Or(held, free),
         s["row_epoch"] == 1,
         s["row_version"] == 1,
@@ -109,21 +109,21 @@
 
 
 def holds(s: State, i: str) -> Expr:
-    """Return whether an instance may act on the shard."""
+    """Return whether an instance may act as owner of the shard."""
     return z3.And(s["epoch", i] > 0, s["clock", i] < s["until", i])
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_asked(s: State, _m: str, i: str) -> Step:
-    """An instance asks for the row."""
+    """An instance sends a read of the row."""
     return s["reading", i] == IDLE, updates(
         (("reading", i), ASKED), (("read_asked", i), s["clock", i])
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_served(s: State, _m: str, i: str) -> Step:
-    """The table answers a read; the answer is under way."""
+    """The table serves a read; the response is in flight."""
     return s["reading", i] == ASKED, updates(
         (("reading", i), SERVED),
         (("read_version", i), s["row_version"]),
@@ -133,13 +133,13 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def read_answered(s: State, m: str, i: str) -> Step:
-    """The answer arrives; it also settles a write of unknown outcome."""
+    """The response arrives; it also resolves a write of unknown outcome."""
     changed = s["read_version", i] != s["seen_version", i]
-    counted = s["read_asked", i] if m == FROM_ASKED else s["clock", i]
-    settles = s["write", i] == UNKNOWN
-    own = z3.And(settles, s["read_id", i] == s["write_id", i])
+    counted_from = s["read_asked", i] if m == COUNT_FROM_REQUEST else s["clock", i]
+    resolves = s["write", i] == UNKNOWN
+    own = z3.And(resolves, s["read_id", i] == s["write_id", i])
     is_lease = s["write_kind", i] != RELEASE
     lease_end = s["asked", i] + OWNERSHIP_LEASE_MS
     return s["reading", i] == SERVED, updates(
@@ -147,30 +147,30 @@
         (("seen_version", i), s["read_version", i]),
         (("seen_owner", i), s["read_owner", i]),
         (("seen_epoch", i), s["read_epoch", i]),
-        (("since", i), z3.If(changed, counted, s["since", i])),
-        (("write", i), z3.If(settles, IDLE, s["write", i])),
+        (("since", i), z3.If(changed, counted_from, s["since", i])),
+        (("write", i), z3.If(resolves, IDLE, s["write", i])),
         (
             ("epoch", i),
             z3.If(
                 z3.And(own, is_lease),
                 s["write_epoch", i],
-                z3.If(settles, 0, s["epoch", i]),
+                z3.If(resolves, 0, s["epoch", i]),
             ),
         ),
         (
             ("until", i),
-            z3.If(z3.And(own, is_lease), lease_end, z3.If(settles, 0, s["until", i])),
+            z3.If(z3.And(own, is_lease), lease_end, z3.If(resolves, 0, s["until", i])),
         ),
         (("version", i), z3.If(own, s["read_version", i], s["version", i])),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def take_sent(s: State, m: str, i: str) -> Step:
-    """A candidate asks for the shard after the lease that it saw has lapsed."""
+    """A candidate sends a takeover after a release or a lapse of the lease it saw."""
     margin = 0 if m == NO_MARGIN else DRIFT_MARGIN_MS
     lapsed = s["clock", i] >= s["since", i] + OWNERSHIP_LEASE_MS + margin
-    if m == NO_WAIT:
+    if m == TAKE_BEFORE_LAPSE:
         lapsed = z3.BoolVal(True)
     return (
         z3.And(
@@ -183,19 +183,19 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def renew_sent(s: State, _m: str, i: str) -> Step:
-    """The holder asks to renew its lease."""
+    """The holder sends a renewal of its lease."""
     ready = z3.And(s["write", i] == IDLE, s["epoch", i] > 0)
     return ready, _send(s, i, RENEW, s["version", i], s["epoch", i])
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def release_sent(s: State, m: str, i: str) -> Step:
-    """The holder stops acting and then clears the row."""
+    """The holder stops acting as owner and then sends a write that clears the row."""
     ready = z3.And(s["write", i] == IDLE, s["epoch", i] > 0)
     sent = _send(s, i, RELEASE, s["version", i], s["epoch", i])
-    if m != RELEASE_FIRST:
+    if m != CLEAR_BEFORE_STOP:
         sent.update(updates((("epoch", i), 0), (("until", i), 0)))
     return ready, sent
 
@@ -212,20 +212,20 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def write_applied(s: State, m: str, i: str) -> Step:
-    """The table applies a write or rejects it."""
+    """The table applies or rejects a write."""
     accepted = _accepted(s, m, s["write_check", i])
     changes = _apply(s, i, "write", accepted)
     changes[f"write_{i}"] = z3.If(accepted, APPLIED, REJECTED)
-    # The answer tells the version of the written row.
+    # The response carries the version of the written row.
     changes[f"write_check_{i}"] = s["row_version"] + 1
     return s["write", i] == SENT, changes
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def late_write_applied(s: State, m: str, i: str) -> Step:
-    """A write that its sender gave up reaches the table after all."""
+    """The table processes a write after its sender timed out."""
     changes = _apply(s, i, "late", _accepted(s, m, s["late_check", i]))
     changes[f"late_{i}"] = z3.BoolVal(False)
     return s["late", i], changes
@@ -247,25 +247,25 @@
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def write_answered(s: State, m: str, i: str) -> Step:
-    """The answer to a write arrives."""
+    """The response to a write arrives."""
     accepted = s["write", i] == APPLIED
     leased = z3.And(accepted, s["write_kind", i] != RELEASE)
-    counted = s["clock", i] if m == FROM_ANSWER else s["asked", i]
+    counted_from = s["clock", i] if m == COUNT_FROM_RESPONSE else s["asked", i]
     return z3.Or(accepted, s["write", i] == REJECTED), updates(
         (("write", i), IDLE),
         (("epoch", i), z3.If(leased, s["write_epoch", i], 0)),
-        (("until", i), z3.If(leased, counted + OWNERSHIP_LEASE_MS, 0)),
+        (("until", i), z3.If(leased, counted_from + OWNERSHIP_LEASE_MS, 0)),
         (("version", i), s["write_check", i]),
     )
 
 
-@SPEC.action(*EACH)
+@SPEC.action(*EACH_INSTANCE)
 def answer_lost(s: State, m: str, i: str) -> Step:
-    """No answer arrives; the write may or may not take effect, now or later."""
+    """No response arrives; the write may have been applied or may be applied later."""
     waiting = z3.Or(*(s["write", i] == w for w in (SENT, APPLIED, REJECTED)))
-    assumed = m == ASSUMED
+    assumed = m == LOST_AS_SUCCESS
     changes = updates(
         (("write", i), IDLE if assumed else UNKNOWN),
         (("late", i), s["write", i] == SENT),
@@ -281,7 +281,7 @@
                 (("until", i), s["asked", i] + OWNERSHIP_LEASE_MS),
             )
         )
-    # A read that was served before the loss cannot tell the outcome.
+    # A read that was served before the loss doesn't show the outcome.
     changes[f"reading_{i}"] = IDLE
     return z3.And(waiting, z3.Not(s["late", i])), changes
 
@@ -294,13 +294,13 @@
 
 @SPEC.invariant
 def one_owner_per_epoch(s: State) -> Expr:
-    """No two instances are owners under the same epoch."""
+    """The two instances are never owners with the same epoch."""
     return z3.Or(s["epoch", "a"] == 0, s["epoch", "a"] != s["epoch", "b"])
 
 
 @SPEC.goal
 def taken_over_after_lapse(s: State) -> Expr:
-    """Instance b holds the shard while a still believes in its lapsed lease."""
+    """Instance b holds the shard while a still has the epoch of its lapsed lease."""
     return z3.And(holds(s, "b"), s["epoch", "a"] == 1, s["epoch", "b"] == 2)
 
 
--- a/formal/ownership_lemmas.py
+++ b/formal/ownership_lemmas.py
@@ -1,8 +1,8 @@
 """An inductive invariant of the ownership model, for runs of any length.
 
-A claim is a lease that an instance has or may still learn that it has. Each claim
-under the row's epoch and owner ends at most a lease and a skew after the row was
-written; every other claim has lapsed.
+A claim is a lease that an instance knows or may still learn of from a response. A
+claim with the row's epoch and owner ends at most one lease plus one skew after the
+row was written; every other claim has lapsed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from marjoramgrade.decisions.ownership import OWNERSHIP_LEASE_MS
 
-OTHER = {"a": "b", "b": "a"}
+OTHER_INSTANCE = {"a": "b", "b": "a"}
 
 
 def iter_claims(s: State, i: str) -> Iterator[tuple[Expr, Expr, Expr]]:
@@ -52,7 +52,7 @@
 
 @SPEC.lemma
 def values_in_range(s: State) -> Expr:
-    """The row and what was read of it have values of their kinds."""
+    """The row, the reads and the writes have values in their ranges."""
     parts = [s["row_epoch"] >= 1, s["row_version"] >= 1, s["row_at"] <= s[NOW]]
     parts += [s["row_owner"] >= RELEASED, s["row_owner"] <= 2, s["row_id"] >= 0]
     parts += [s["row_id"] < s["next_id"]]
@@ -69,7 +69,7 @@
 
 @SPEC.lemma
 def reads_match_the_row(s: State) -> Expr:
-    """What was read at the row's version is what the row holds."""
+    """A read of the row's current version matches the row."""
     parts = []
     for i in OWNER_NUMBER:
         for name, present in (
@@ -96,7 +96,7 @@
 
 @SPEC.lemma
 def ids_are_unique(s: State) -> Expr:
-    """A write that was not applied has an id that nobody has read."""
+    """The id of a write that was not applied is neither in the row nor in a read."""
     parts = []
     for i in OWNER_NUMBER:
         for slot, present in iter_writes(s, i):
@@ -113,20 +113,20 @@
         parts.append(z3.Implies(z3.And(sent, served), unread))
         both = z3.And(s["late", i], z3.Or(sent, s["write", i] == APPLIED))
         parts.append(z3.Implies(both, s["late_id", i] != s["write_id", i]))
-        # A write of unknown outcome that is still under way is in no row yet.
+        # A write of unknown outcome that is in flight is not in the row yet.
         same = z3.And(
             s["late", i],
             s["write", i] == UNKNOWN,
             s["late_id", i] == s["write_id", i],
         )
-        copied = z3.And(
+        matching = z3.And(
             s["late_epoch", i] == s["write_epoch", i],
             s["late_kind", i] == s["write_kind", i],
             s["row_id"] != s["write_id", i],
             z3.Implies(served, unread),
         )
-        parts.append(z3.Implies(same, copied))
-        other = OTHER[i]
+        parts.append(z3.Implies(same, matching))
+        other = OTHER_INSTANCE[i]
         for slot, present in iter_writes(s, other):
             pair = z3.And(active, present)
             distinct = s["write_id", i] != s[f"{slot}_id", other]
@@ -138,7 +138,7 @@
 
 @SPEC.lemma
 def live_writes_are_justified(s: State) -> Expr:
-    """A write whose check still holds follows from the row as it is."""
+    """A write whose check still passes is permitted by the current row."""
     parts = []
     lapsed = s[NOW] >= s["row_at"] + OWNERSHIP_LEASE_MS + SKEW_MS
     for i, number in OWNER_NUMBER.items():
@@ -162,7 +162,7 @@
 
 @SPEC.lemma
 def held_version_is_own(s: State) -> Expr:
-    """While the row has the version that a holder knows, the holder owns it."""
+    """While the row has the version that a holder knows, the row names the holder."""
     parts = []
     for i, number in OWNER_NUMBER.items():
         own = z3.And(s["row_owner"] == number, s["row_epoch"] == s["epoch", i])
@@ -170,13 +170,14 @@
         held = s["epoch", i] > 0
         parts.append(z3.Implies(held, s["version", i] <= s["row_version"]))
         parts.append(z3.Implies(z3.And(held, current), own))
-        # An applied write knows the version that it wrote.
+        # The same holds for an applied write and the version that it wrote.
         applied = z3.And(s["write", i] == APPLIED, s["write_kind", i] != RELEASE)
         wrote = s["write_check", i] == s["row_version"]
         row = z3.And(s["row_owner"] == number, s["row_epoch"] == s["write_epoch", i])
         parts.append(z3.Implies(applied, s["write_check", i] <= s["row_version"]))
         parts.append(z3.Implies(z3.And(applied, wrote), row))
-        # So does a write of unknown outcome whose id is in the row or was read.
+        # The same holds for a write of unknown outcome whose id is in the row or was
+        # read.
         unknown = z3.And(s["write", i] == UNKNOWN, s["write_kind", i] != RELEASE)
         in_row = s["row_id"] == s["write_id", i]
         parts.append(z3.Implies(z3.And(z3.Or(applied, unknown), in_row), row))
@@ -191,7 +192,7 @@
 
 @SPEC.lemma
 def claims_end_in_time(s: State) -> Expr:
-    """A claim of the row's owner ends in time and every other one has lapsed."""
+    """A claim of the row's owner ends in time; every other claim has lapsed."""
     parts = []
     for i, number in OWNER_NUMBER.items():
         for condition, epoch, end in iter_claims(s, i):
@@ -205,14 +206,14 @@
 
 @SPEC.lemma
 def claims_have_distinct_epochs(s: State) -> Expr:
-    """Two instances never have claims of one epoch."""
+    """Two instances never have claims with the same epoch."""
     parts = []
     for condition, epoch, _ in iter_claims(s, "a"):
         for other_condition, other_epoch, _ in iter_claims(s, "b"):
             both = z3.And(condition, other_condition)
             parts.append(z3.Implies(both, epoch != other_epoch))
     for i, number in OWNER_NUMBER.items():
-        for condition, epoch, _ in iter_claims(s, OTHER[i]):
+        for condition, epoch, _ in iter_claims(s, OTHER_INSTANCE[i]):
             owned = z3.And(condition, s["row_owner"] == number)
             parts.append(z3.Implies(owned, epoch < s["row_epoch"]))
     return z3.And(*parts)
