--- a/formal/task_state.py
+++ b/formal/task_state.py
@@ -1,9 +1,11 @@
 """Two tasks of one shard on two workers, through a takeover of the shard.
 
 The ownership model shows that the owners of successive epochs do not overlap, so
-the memory of the owner is modelled once, and a takeover at any moment raises the
-epoch, empties that memory and leaves the old owner's messages under way. Messages
-may be delayed for any time, lost by never being delivered, and overtake each other.
+the owner's in-memory state is modelled once. A takeover may happen at any moment; it
+raises the epoch, clears that state and leaves the old owner's messages in flight.
+Messages may be delayed for any time, never be delivered, and be reordered.
+
+An end is a worker's report that a task ended.
 """
 
 from __future__ import annotations
@@ -24,9 +26,11 @@
 EACH_PAIR = tuple(itertools.product(WORKER_NUMBER, TASKS))
 QUEUED = 0
 FIRST_EPOCH, NEXT_EPOCH = 1, 2
-# Progress of a heartbeat: under way to the owner, then its grant to the worker.
+# Progress of a heartbeat: in flight to the owner, then its grant in flight to the
+# worker.
 NONE, HEARTBEAT, GRANT = range(3)
-# Progress of a connection: hello to the worker, then its inventory to the owner.
+# Progress of a connection: hello in flight to the worker, then the inventory in
+# flight to the owner.
 HELLO, INVENTORY = 1, 2
 # Progress of an end in the owner's journal.
 RECEIVED, WRITING, WRITTEN, DURABLE = 1, 2, 3, 4
@@ -61,21 +65,23 @@
 )
 NO_LEASE_CHECK = SPEC.mutation("start admitted after the worker lease", "one_place")
 NO_RECONCILIATION = SPEC.mutation("no reconciliation wait", "one_place")
-FROM_ARRIVAL = SPEC.mutation("worker lease counted from the grant", "one_place")
+COUNT_FROM_GRANT = SPEC.mutation("worker lease counted from the grant", "one_place")
 NO_MARGIN = SPEC.mutation("no drift margin for lapsed workers", "one_place")
-RESUMES = SPEC.mutation("lapsed worker resumes its tasks", "one_place")
-ACK_FIRST = SPEC.mutation("end acknowledged before the durable write", "no_end_lost")
-DROPS_ENDS = SPEC.mutation("lapsed worker drops its ends", "no_end_lost")
+LAPSED_RESUMES = SPEC.mutation("lapsed worker resumes its tasks", "one_place")
+ACK_BEFORE_WRITE = SPEC.mutation(
+    "end acknowledged before the durable write", "no_end_lost"
+)
+LAPSED_DROPS_ENDS = SPEC.mutation("lapsed worker drops its ends", "no_end_lost")
 ROWS_CACHED = SPEC.mutation("job rows cached before the takeover", "no_repeat")
 NO_ROW_CHECK = SPEC.mutation("end written without an epoch check", "no_repeat")
 NO_INVENTORY = SPEC.mutation("inventory ignored in the placement", "no_overcommit")
 TRUE, FALSE = z3.BoolVal(True), z3.BoolVal(False)
 
 
-def task_is(
-    s: State, t: str, placed: int, running: bool, kept: bool, journal: int
+def is_in_stage(
+    s: State, t: str, placed: int, running: bool, end_retained: bool, journal: int
 ) -> Expr:
-    """Return that a task is in a given stage, with nothing on worker w."""
+    """Return whether a task is in a given stage and absent from worker w."""
     return z3.And(
         s["placed", t] == placed,
         s["running", "v", t] == running,
@@ -83,9 +89,9 @@
         s["start_epoch", "v", t] == FIRST_EPOCH,
         s["start_connection", "v", t] == 1,
         z3.Not(s["start_sent", "w", t]),
-        s["kept", "v", t] == kept,
+        s["kept", "v", t] == end_retained,
         s["journal", t] == journal,
-        s["finished", t] == kept,
+        s["finished", t] == end_retained,
         s["done", t] == (journal >= WRITTEN),
         z3.Not(s["running", "w", t]),
         z3.Not(s["kept", "w", t]),
@@ -93,25 +99,29 @@
 
 
 def is_queued(s: State, t: str = "x") -> Expr:
-    """Return that a task waits for its start."""
-    return task_is(s, t, QUEUED, running=False, kept=False, journal=NONE)
+    """Return whether a task is queued."""
+    return is_in_stage(s, t, QUEUED, running=False, end_retained=False, journal=NONE)
 
 
 STAGES: tuple[Callable[[State], Expr], ...] = (
-    lambda s: task_is(s, "x", 1, running=False, kept=False, journal=NONE),
-    lambda s: task_is(s, "x", 1, running=True, kept=False, journal=NONE),
-    lambda s: task_is(s, "x", QUEUED, running=False, kept=True, journal=RECEIVED),
-    lambda s: task_is(s, "x", QUEUED, running=False, kept=True, journal=WRITTEN),
+    lambda s: is_in_stage(s, "x", 1, running=False, end_retained=False, journal=NONE),
+    lambda s: is_in_stage(s, "x", 1, running=True, end_retained=False, journal=NONE),
+    lambda s: is_in_stage(
+        s, "x", QUEUED, running=False, end_retained=True, journal=RECEIVED
+    ),
+    lambda s: is_in_stage(
+        s, "x", QUEUED, running=False, end_retained=True, journal=WRITTEN
+    ),
 )
 
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """An owner in force and workers with a full lease.
+    """A current owner and workers with a full lease.
 
-    A heartbeat may be under way. Task y is queued. Task x is queued, its start is
-    under way to worker v, it runs there, or it has ended there with its end at some
-    stage of the journal; this shortens the runs to be explored.
+    Heartbeats may be in flight. Task y is queued. Task x is queued, its start is in
+    flight to worker v, it runs there, or it has ended there and its end is received
+    or written by the journal. This shortens the runs to be explored.
     """
     parts = [s["epoch"] == FIRST_EPOCH, s["rows_read"]]
     for w in WORKER_NUMBER:
@@ -137,7 +147,7 @@
 
 
 def has_lease(s: State, w: str) -> Expr:
-    """Return whether tasks may run on a worker."""
+    """Return whether a worker's lease is valid, so that tasks may run there."""
     return s["clock", w] < s["until", w]
 
 
--- a/formal/tasks.py
+++ b/formal/tasks.py
@@ -6,19 +6,20 @@
 
 from formal.bounded import Expr, State, Step, updates
 from formal.task_state import (
-    ACK_FIRST,
-    DROPS_ENDS,
+    ACK_BEFORE_WRITE,
+    COUNT_FROM_GRANT,
     DURABLE,
     EACH_PAIR,
     EACH_TASK,
     EACH_WORKER,
     FALSE,
     FIRST_EPOCH,
-    FROM_ARRIVAL,
     GRANT,
     HEARTBEAT,
     HELLO,
     INVENTORY,
+    LAPSED_DROPS_ENDS,
+    LAPSED_RESUMES,
     NEXT_EPOCH,
     NO_CONNECTION_CHECK,
     NO_EPOCH_CHECK,
@@ -30,7 +31,6 @@
     NONE,
     QUEUED,
     RECEIVED,
-    RESUMES,
     ROWS_CACHED,
     SPEC,
     TASKS,
@@ -49,7 +49,7 @@
 
 @SPEC.action()
 def takeover(s: State, _m: str) -> Step:
-    """A new owner dials every worker of the roster and knows nothing else."""
+    """A new owner, which has no other state, connects to every worker."""
     changes = updates(("epoch", NEXT_EPOCH), ("rows_read", FALSE))
     for w in WORKER_NUMBER:
         lapse = s["clock_o"] + WORKER_LEASE_MS + DRIFT_MARGIN_MS
@@ -79,7 +79,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def redialed(s: State, _m: str, w: str) -> Step:
-    """The owner's connection to a worker broke and the owner dials again."""
+    """The owner reconnects to a worker after a broken connection."""
     return s["dial", w] == NONE, updates(
         (("connection", w), s["connection", w] + 1),
         (("confirmed", w), FALSE),
@@ -91,7 +91,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def inventory_received(s: State, m: str, w: str) -> Step:
-    """The owner confirms a worker and learns what runs and what ended there."""
+    """The owner confirms a worker and adopts its running tasks and its ends."""
     current = z3.And(
         s["dial_epoch", w] == s["epoch"], s["dial_connection", w] == s["connection", w]
     )
@@ -101,8 +101,8 @@
         (("reconciled", w), z3.Or(current, s["reconciled", w])),
     )
     for t in TASKS:
-        here = s["placed", t] == WORKER_NUMBER[w]
-        placed = z3.If(here, QUEUED, s["placed", t])
+        placed_here = s["placed", t] == WORKER_NUMBER[w]
+        placed = z3.If(placed_here, QUEUED, s["placed", t])
         if m != NO_INVENTORY:
             placed = z3.If(s["listed_running", w, t], WORKER_NUMBER[w], placed)
         ended = z3.And(current, s["listed_end", w, t], s["journal", t] == NONE)
@@ -117,7 +117,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def worker_lapsed(s: State, m: str, w: str) -> Step:
-    """The owner requeues the tasks of a worker whose lease has certainly lapsed."""
+    """The owner requeues the tasks of a worker whose lease has lapsed for certain."""
     margin = DRIFT_MARGIN_MS if m == NO_MARGIN else 0
     changes = updates(
         (("confirmed", w), FALSE),
@@ -126,14 +126,14 @@
         (("dial", w), NONE),
     )
     for t in TASKS:
-        here = s["placed", t] == WORKER_NUMBER[w]
-        changes[f"placed_{t}"] = z3.If(here, QUEUED, s["placed", t])
+        placed_here = s["placed", t] == WORKER_NUMBER[w]
+        changes[f"placed_{t}"] = z3.If(placed_here, QUEUED, s["placed", t])
     return s["clock_o"] >= s["lapse", w] - margin, changes
 
 
 @SPEC.action()
 def rows_received(s: State, m: str) -> Step:
-    """The new owner reads the job rows, after its takeover took effect."""
+    """The new owner reads the job rows after its takeover was applied."""
     is_open = [TRUE if m == ROWS_CACHED else z3.Not(s["done", t]) for t in TASKS]
     changes = {
         f"known_open_{t}": known for t, known in zip(TASKS, is_open, strict=True)
@@ -144,7 +144,7 @@
 
 @SPEC.action(*EACH_PAIR)
 def start_sent(s: State, m: str, w: str, t: str) -> Step:
-    """The owner places a queued task on a confirmed worker that is free."""
+    """The owner places a queued task on a confirmed worker with free capacity."""
     free = z3.And(*(s["placed", other] != WORKER_NUMBER[w] for other in TASKS))
     ready = z3.And(*(s["reconciled", other] for other in WORKER_NUMBER))
     if m == NO_RECONCILIATION:
@@ -152,8 +152,8 @@
     queued = z3.And(
         s["known_open", t], s["placed", t] == QUEUED, s["journal", t] == NONE
     )
-    slot = z3.Not(s["start_sent", w, t])
-    guard = z3.And(s["rows_read"], ready, s["confirmed", w], free, queued, slot)
+    unsent = z3.Not(s["start_sent", w, t])
+    guard = z3.And(s["rows_read"], ready, s["confirmed", w], free, queued, unsent)
     return guard, updates(
         (("placed", t), WORKER_NUMBER[w]),
         (("start_sent", w, t), TRUE),
@@ -165,7 +165,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def grant_sent(s: State, _m: str, w: str) -> Step:
-    """The owner answers a heartbeat and counts the lease from now."""
+    """The owner replies to a heartbeat and counts the lease from the reply."""
     current = z3.And(s["beat", w] == HEARTBEAT, s["beat_epoch", w] == s["epoch"])
     return z3.And(current, s["confirmed", w]), updates(
         (("beat", w), GRANT),
@@ -175,11 +175,11 @@
 
 @SPEC.action(*EACH_PAIR)
 def end_received(s: State, _m: str, w: str, t: str) -> Step:
-    """The owner learns of an end, frees the worker and queues the write."""
-    here = s["placed", t] == WORKER_NUMBER[w]
+    """The owner receives an end, frees the worker's capacity and queues the write."""
+    placed_here = s["placed", t] == WORKER_NUMBER[w]
     return z3.And(s["end_sent", w, t], s["confirmed", w]), updates(
         (("end_sent", w, t), FALSE),
-        (("placed", t), z3.If(here, QUEUED, s["placed", t])),
+        (("placed", t), z3.If(placed_here, QUEUED, s["placed", t])),
         (("journal", t), z3.If(s["journal", t] == NONE, RECEIVED, s["journal", t])),
     )
 
@@ -199,19 +199,19 @@
 
 @SPEC.action(*EACH_TASK)
 def end_write_answered(s: State, _m: str, t: str) -> Step:
-    """The answer to the write of an end arrives."""
+    """The response to the write of an end arrives."""
     return s["journal", t] == WRITTEN, updates((("journal", t), DURABLE))
 
 
 @SPEC.action(*EACH_TASK)
 def end_answer_lost(s: State, _m: str, t: str) -> Step:
-    """The answer to the write of an end is lost; it is sent again unchanged."""
+    """The response to the write of an end is lost; the write is resent unchanged."""
     return s["journal", t] == WRITTEN, updates((("journal", t), RECEIVED))
 
 
 @SPEC.action(*EACH_TASK)
 def late_end_applied(s: State, m: str, t: str) -> Step:
-    """The old owner's write reaches the table, which checks the shard's epoch."""
+    """The old owner's late write arrives; the table's check of the epoch rejects it."""
     changes = updates((("late_write", t), FALSE))
     if m == NO_ROW_CHECK:
         changes[f"done_{t}"] = TRUE
@@ -220,9 +220,9 @@
 
 @SPEC.action(*EACH_PAIR)
 def ack_sent(s: State, m: str, w: str, t: str) -> Step:
-    """The owner acknowledges an end that is durable."""
-    enough = s["journal", t] >= (RECEIVED if m == ACK_FIRST else DURABLE)
-    return z3.And(enough, s["confirmed", w]), updates((("ack_sent", w, t), TRUE))
+    """The owner acknowledges a durable end."""
+    allowed = s["journal", t] >= (RECEIVED if m == ACK_BEFORE_WRITE else DURABLE)
+    return z3.And(allowed, s["confirmed", w]), updates((("ack_sent", w, t), TRUE))
 
 
 # The workers.
@@ -230,7 +230,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def hello_received(s: State, m: str, w: str) -> Step:
-    """A worker raises its fence and reports; a lapsed worker runs nothing."""
+    """A worker raises its fence and sends its inventory; lapsed workers run nothing."""
     newer = z3.Or(
         s["dial_epoch", w] > s["fence", w],
         z3.And(
@@ -254,7 +254,7 @@
 
 @SPEC.action(*EACH_PAIR)
 def start_received(s: State, m: str, w: str, t: str) -> Step:
-    """A worker starts a task under its newest connection and a lease."""
+    """A worker starts a task of its newest connection while its lease is valid."""
     checks = []
     if m != NO_EPOCH_CHECK:
         checks.append(s["start_epoch", w, t] == s["fence", w])
@@ -274,7 +274,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def heartbeat_sent(s: State, _m: str, w: str) -> Step:
-    """A worker sends a heartbeat; an older one that is under way is lost."""
+    """A worker sends a heartbeat; an older heartbeat in flight is lost."""
     return s["beat", w] != GRANT, updates(
         (("beat", w), HEARTBEAT),
         (("beat_sent", w), s["clock", w]),
@@ -284,17 +284,17 @@
 
 @SPEC.action(*EACH_WORKER)
 def grant_received(s: State, m: str, w: str) -> Step:
-    """The lease counts from the heartbeat; tasks end where it lapsed before."""
-    counted = s["clock", w] if m == FROM_ARRIVAL else s["beat_sent", w]
-    end = counted + WORKER_LEASE_MS
+    """The lease counts from the heartbeat; tasks stop if it had lapsed before."""
+    counted_from = s["clock", w] if m == COUNT_FROM_GRANT else s["beat_sent", w]
+    end = counted_from + WORKER_LEASE_MS
     admitted = z3.And(s["beat_epoch", w] >= s["fence", w], end > s["until", w])
     changes = updates(
         (("beat", w), NONE), (("until", w), z3.If(admitted, end, s["until", w]))
     )
-    if m != RESUMES:
+    if m != LAPSED_RESUMES:
         for t in TASKS:
             changes[f"running_{w}_{t}"] = runs(s, w, t)
-    if m == DROPS_ENDS:
+    if m == LAPSED_DROPS_ENDS:
         for t in TASKS:
             changes[f"kept_{w}_{t}"] = z3.And(has_lease(s, w), s["kept", w, t])
     return s["beat", w] == GRANT, changes
@@ -302,7 +302,7 @@
 
 @SPEC.action(*EACH_PAIR)
 def task_ended(s: State, _m: str, w: str, t: str) -> Step:
-    """A task ends; the worker keeps the end until it is acknowledged."""
+    """A task ends; the worker retains the end until it is acknowledged."""
     return runs(s, w, t), updates(
         (("running", w, t), FALSE),
         (("unleased", w, t), FALSE),
@@ -314,7 +314,7 @@
 
 @SPEC.action(*EACH_PAIR)
 def ack_received(s: State, m: str, w: str, t: str) -> Step:
-    """A worker drops an end that its owner recorded."""
+    """A worker discards an end that the owner has acknowledged."""
     return s["ack_sent", w, t], updates(
         (("ack_sent", w, t), FALSE), (("kept", w, t), FALSE)
     )
@@ -328,16 +328,18 @@
 
 @SPEC.invariant
 def no_overcommit(s: State) -> Expr:
-    """No worker, which has room for one task, runs two."""
+    """No worker, which has capacity for one task, runs two at the same time."""
     return z3.And(*(z3.Not(z3.And(runs(s, w, "x"), runs(s, w, "y"))) for w in "vw"))
 
 
 @SPEC.invariant
 def no_end_lost(s: State) -> Expr:
-    """A task that ended is recorded, or a worker still keeps its end."""
-    safe = [z3.Or(s["done", t], s["kept", "v", t], s["kept", "w", t]) for t in TASKS]
+    """The end of every finished task is recorded or retained by a worker."""
+    preserved = [
+        z3.Or(s["done", t], s["kept", "v", t], s["kept", "w", t]) for t in TASKS
+    ]
     ends = [s["finished", t] for t in TASKS]
-    return z3.And(*(z3.Implies(e, k) for e, k in zip(ends, safe, strict=True)))
+    return z3.And(*(z3.Implies(e, k) for e, k in zip(ends, preserved, strict=True)))
 
 
 @SPEC.invariant
@@ -348,14 +350,14 @@
 
 @SPEC.goal
 def started_ended_and_acknowledged(s: State) -> Expr:
-    """A task ran, its end was recorded and the worker dropped it."""
+    """A task ran, its end was recorded and the worker discarded the end."""
     dropped = z3.And(z3.Not(s["kept", "w", "y"]), z3.Not(s["ack_sent", "w", "y"]))
     return z3.And(s["finished", "y"], s["done", "y"], dropped)
 
 
 @SPEC.goal
 def started_by_the_next_owner(s: State) -> Expr:
-    """A task of the first owner goes on and the next owner starts another."""
+    """A task of the first owner still runs and the next owner starts another."""
     started = z3.And(runs(s, "w", "y"), s["start_epoch", "w", "y"] == NEXT_EPOCH)
     return z3.And(runs(s, "v", "x"), s["placed", "x"] == WORKER_NUMBER["v"], started)
 
