--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -194,7 +194,7 @@
 async def measure_owner(
     folder: pathlib.Path, report: Report, chosen: list[str]
 ) -> None:
-    """Run the chosen series that use a single entry instance."""
+    """Run the chosen series that use a single entry instance, which owns the shard."""
     rig = await Rig.start(
         folder, zones=(ZONE,), workers_per_zone=WORKERS, backends_per_zone=2
     )
--- a/bench/cells.py
+++ b/bench/cells.py
@@ -78,13 +78,13 @@
 )
 
 
-def _shapes(unit: int, gib: int) -> dict[str, tuple[Shape, ...]]:
-    """Return the types of work of each team, scaled by cores and GiB of memory."""
-    pack = Shape(4 * unit, 4 * gib, (8_000, 30_000), 4)
-    cpu_heavy = Shape(6 * unit, 2 * gib, (5_000, 40_000), 2)
-    memory_heavy = Shape(2 * unit, 8 * gib, (10_000, 40_000), 4)
-    watch = Shape(unit, 2 * gib, (60_000, 120_000), 1, JobKind.SERVICE)
-    gang = Shape(3 * unit, 3 * gib, (10_000, 20_000), 1, JobKind.GANG, 4)
+def _shapes(cores: int, gib: int) -> dict[str, tuple[Shape, ...]]:
+    """Return the types of work of each team, scaled by cores and memory."""
+    pack = Shape(4 * cores, 4 * gib, (8_000, 30_000), 4)
+    cpu_heavy = Shape(6 * cores, 2 * gib, (5_000, 40_000), 2)
+    memory_heavy = Shape(2 * cores, 8 * gib, (10_000, 40_000), 4)
+    watch = Shape(cores, 2 * gib, (60_000, 120_000), 1, JobKind.SERVICE)
+    gang = Shape(3 * cores, 3 * gib, (10_000, 20_000), 1, JobKind.GANG, 4)
     return {
         "collections": (CHECK, pack, watch),
         "reports": (memory_heavy, CHECK, gang),
@@ -99,14 +99,14 @@
     "kelani",
     Resources(64_000, 128 * 1024),
     TEAMS,
-    _shapes(unit=2, gib=4),
+    _shapes(cores=2, gib=4),
     Shape(4, 8, (1_000, 3_000), 1),
 )
 LEDGERWELL = Deployment(
     "ledgerwell",
     Resources(16_000, 64 * 1024),
     TEAMS,
-    _shapes(unit=1, gib=2),
+    _shapes(cores=1, gib=2),
     Shape(2, 4, (1_000, 3_000), 1),
 )
 DEPLOYMENTS = {each.name: each for each in (KELANI, LEDGERWELL)}
--- a/bench/designsize.py
+++ b/bench/designsize.py
@@ -1,5 +1,6 @@
-"""Extrapolates the cost of an entry instance at the design size from slopes.
+"""Extrapolates the cost of an entry instance at the design size.
 
+The cost is computed from the slopes that `bench.capacity` measures.
 Run `python -m bench.capacity --json | python -m bench.designsize`.
 """
 
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -24,6 +24,7 @@
 from marjoramgrade.settings import PolicyNames
 
 TICK_MS = 50
+# Maximum number of starts of a scheduler step.
 BUDGET = 1_000
 # One in this many checkpoint requests is ignored, so that the task ends only with
 # the hard stop.
@@ -33,7 +34,12 @@
 
 @attrs.define(eq=False)
 class Run:
-    """A run of a task on a worker."""
+    """A run of a task on a worker.
+
+    Attributes:
+        ending: Status that the run ends with.
+        is_over: True once the run has ended or another object replaces it.
+    """
 
     task: TaskId
     zone: int
@@ -120,7 +126,7 @@
         return total
 
     def done(self) -> Resources:
-        """Return the resource seconds of work so far, except for stopped tasks."""
+        """Return the resource seconds of work so far, without that of stopped tasks."""
         now_ms = self.clock.now_ms()
         total = self.ended
         for run in self._runs.values():
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -55,7 +55,7 @@
         packing: Mean used part of the scarcest resource of the cell.
         share_distance: Largest difference between the share of a team in a window
             and its fair share.
-        work_done: Work done as a part of the upper bound.
+        work_done: Work done as a fraction of its upper bound.
         cpu_us_per_start: Processor time of the schedulers for each start in µs.
     """
 
@@ -81,7 +81,7 @@
 
 
 def demand_of(deployment: Deployment, team: str) -> Resources:
-    """Return the resources of the mix of work of a team, in proportion."""
+    """Return resources in the proportion in which a team's mix of work uses them."""
     total = Resources()
     for shape in deployment.shapes_by_team[team]:
         amount = Resources(1000 * shape.cores, 1024 * shape.gib)
@@ -162,10 +162,10 @@
             continue
         if (now_ms - WARM_UP_MS) % WINDOW_MS == 0:
             windows.append(dict.fromkeys(fair, 0.0))
-        use_by_team = {team: cell.usage_of(team) for team in fair}
-        for team, use in use_by_team.items():
-            windows[-1][team] += use.dominant_share(total) / ticks_per_window
-        packings.append(sum(use_by_team.values(), Resources()).dominant_share(total))
+        usage_by_team = {team: cell.usage_of(team) for team in fair}
+        for team, usage in usage_by_team.items():
+            windows[-1][team] += usage.dominant_share(total) / ticks_per_window
+        packings.append(sum(usage_by_team.values(), Resources()).dominant_share(total))
     distances = [abs(each[team] - fair[team]) for each in windows for team in fair]
     return Figures(
         "full",
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -26,7 +26,6 @@
 TASK_MILLIS = 100
 LONG_RUN_MS = 3_600_000
 
-
 Send = Callable[[], Coroutine[Any, Any, None]]
 
 
@@ -104,7 +103,7 @@
         await self.cell.control_platform(instances=instances)
 
     async def declare_teams(self, first: int, after: int) -> None:
-        """Declare teams, each with a key and all but team 0 with a limit."""
+        """Declare teams `first` to `after` - 1; all get keys, all but team 0 limits."""
         url = self._url()
         limit = {"cpu_millis": 1_000_000, "memory_mib": 1_000_000}
         for number in range(first, after):
@@ -275,7 +274,8 @@
             figures[f"platform_{kind}_bytes_s"] = value / seconds
         for kind, value in sorted(own_requests.items()):
             figures[f"platform_{kind}_requests_s"] = value / seconds
-            # A window contains three or four reads that occur once a second.
+            # A window contains only three or four of the reads that occur once a
+            # second, so the bytes of each read are more exact than the rate.
             figures[f"platform_{kind}_bytes_each"] = own_bytes[kind] / value
         for key in ("transactions", "rows_written", "reads"):
             figures[f"table_{key}_s"] = (
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -63,7 +63,7 @@
 
     @classmethod
     def from_size(cls, workers: int, placement: str) -> Load:
-        """Return a scheduler whose workers run 6.5 tasks each."""
+        """Return a scheduler whose workers run 6.5 tasks each on average."""
         policies = {kind: PolicyNames(placement=placement) for kind in JobKind}
         load = cls(Scheduler.from_config(policies), Random(SEED))
         load.scheduler.set_teams([Team(f"t-{n}", 1 + n % 5) for n in range(TEAMS)])
@@ -116,7 +116,7 @@
             self.scheduler.task_ended(task, EndStatus.DONE, self.now_ms)
 
     def time_decisions(self, count: int) -> list[float]:
-        """Return the seconds of steps that each follow an end and an arrival."""
+        """Return the seconds of each step; a task ends and one arrives before each."""
         seconds = []
         for _ in range(count):
             self.end_tasks(1)
@@ -149,12 +149,12 @@
 
 
 def measure_latency(count: int = 2_000) -> dict[str, float]:
-    """Return the latency, its ratio to the linear scan, and its growth.
+    """Return the latency, the linear scan's ratio to it, its growth and the rate.
 
     Other work on the machine only increases a time, in some rounds more than in
     others. So each ratio is computed within a round and reported as the median over
     the rounds; the 99th percentile is that of the fastest half of the rounds, and
-    the rate is the best of three.
+    the rate of starts is the best of three.
     """
     large = Load.from_size(WORKERS, "best_fit")
     running = len(large.running)
@@ -216,7 +216,7 @@
 
 
 def measure_memory() -> dict[str, float]:
-    """Return the memory of 1,000 workers, teams, queued and running tasks each."""
+    """Return the KiB of 1,000 each of workers, teams, queued and running tasks."""
 
     def measure_kib(change: Callable[[], object]) -> float:
         before = tracemalloc.get_traced_memory()[0]
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -36,7 +36,8 @@
 TIMEOUT_S = 50.0
 STEP_TIMEOUT_S = 20.0
 SHUTDOWN_TIMEOUT_S = 5.0
-# Time within which a configuration is in force in every zone, by the design page.
+# Time within which a configuration is in force in every zone, according to the design
+# page.
 IN_FORCE_TIMEOUT_S = 8.0
 POLL_S = 0.2
 BATCH = JobSpec(
@@ -175,7 +176,7 @@
 
 
 def step(title: str) -> Callable[[Step], Step]:
-    """Return a decorator that registers a step; steps run in this order."""
+    """Return a decorator that adds a step; steps run in the order of definition."""
 
     def add(function: Step) -> Step:
         _step_by_title[title] = function
--- a/soak/cell.py
+++ b/soak/cell.py
@@ -23,10 +23,9 @@
 INSTANCES = ("a", "b", "c")
 WORKERS = 4
 WORKER_CPU = 4_000
-GRACE_S = 4
+SHUTDOWN_S = 4
 DEADLINE_MS = 3_000
 
-
 # Below the ephemeral port range of the kernel: an outgoing connection could otherwise
 # use the port of an instance that is down.
 FIRST_PORT, LAST_PORT = 12_000, 32_000
@@ -34,7 +33,7 @@
 
 @attrs.define
 class StablePorts:
-    """Picks free ports that stay free while no process listens on them."""
+    """Picks free ports that stay free: none is ephemeral, and none is picked twice."""
 
     _picked: set[int] = attrs.field(factory=set)
 
@@ -59,11 +58,13 @@
         process_by_name: Latest process of each name.
         front_by_name: Address of the HTTP front end of each instance.
         started: Every process that was started; all are ended at the end of the run.
-        events: Descriptions of faults and results, each with its time.
+        events: Descriptions of faults and results, each with its time in seconds
+            since the start.
         accepted: Monotonic time of acceptance by id of each accepted job.
         statuses_by_job: HTTP statuses of the submissions of each job; 0 stands for
             no response.
-        rules: Rules that are in force in the relay: source, target and mode.
+        relay_rules: Source, target and mode of each rule in force in the relay; an
+            empty source stands for every source.
         start_s: Monotonic time of the start.
         control_port: Control port of the stand-in fleet.
         relay_port: Control port of the relay.
@@ -77,8 +78,8 @@
     started: list[Process] = attrs.field(factory=list)
     events: list[str] = attrs.field(factory=list)
     accepted: dict[str, float] = attrs.field(factory=dict)
-    answers: dict[str, list[int]] = attrs.field(factory=dict)
-    rules: list[list[str]] = attrs.field(factory=list)
+    statuses_by_job: dict[str, list[int]] = attrs.field(factory=dict)
+    relay_rules: list[list[str]] = attrs.field(factory=list)
     start_s: float = attrs.field(factory=time.monotonic)
     control_port: int = 0
     relay_port: int = 0
@@ -158,7 +159,7 @@
                 "link_mbps": 1_000.0,
                 "longest_lease_ms": 6_000,
                 "status_s": 120,
-                "shutdown_s": GRACE_S,
+                "shutdown_s": SHUTDOWN_S,
             },
         )
 
@@ -173,16 +174,16 @@
         return document
 
     async def disturb_connections(self, target: str, mode: str, seconds: float) -> None:
-        """Drop or stall the connections to a target for some seconds."""
+        """Drop or stall the connections to a target for a number of seconds."""
         rule = ["", target, mode]
-        self.rules.append(rule)
+        self.relay_rules.append(rule)
         await self._send_rules()
         await asyncio.sleep(seconds)
-        self.rules.remove(rule)
+        self.relay_rules.remove(rule)
         await self._send_rules()
 
     async def _send_rules(self) -> None:
-        rules = {"rules": self.rules}
+        rules = {"rules": self.relay_rules}
         await send_request(f"{HOST}:{self.relay_port}", "POST", "/control", rules)
 
     async def stop(self) -> None:
@@ -221,7 +222,7 @@
     body: Any = None,
     headers: dict[str, str] | None = None,
 ) -> HttpResponse | None:
-    """Send a request on a new connection; return None without a full response."""
+    """Send a request on a new connection; return None if no full response arrives."""
     pool = HttpPool(address, 1)
     data = b"" if body is None else json.dumps(body).encode()
     try:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from marjoramgrade.registry import Registry
-from soak.cell import GRACE_S, INSTANCES, WORKERS, Soak
+from soak.cell import INSTANCES, SHUTDOWN_S, WORKERS, Soak
 
 Fault = Callable[[Soak], Any]
 FAULTS: Registry[Fault] = Registry("fault")
@@ -37,7 +37,7 @@
 
 @FAULTS.register("freeze")
 async def freeze(soak: Soak) -> None:
-    """Freeze an instance and resume the instance later."""
+    """Freeze an instance and resume it later."""
     name = soak.rng.choice(INSTANCES)
     process = soak.process_by_name[name]
     soak.record_event(f"freeze {name}")
@@ -53,7 +53,7 @@
     process = soak.process_by_name[name]
     soak.record_event(f"terminate {name}")
     process.send(signal.SIGTERM)
-    await asyncio.sleep(GRACE_S)
+    await asyncio.sleep(SHUTDOWN_S)
     process.end()
     soak.start_instance(name)
 
@@ -104,7 +104,7 @@
 
 @FAULTS.register("late")
 async def late(soak: Soak) -> None:
-    """Delay orders to workers: no response in time, and late execution."""
+    """Make workers execute some orders late and send no response to them."""
     soak.record_event("late orders")
     await soak.control_fleet(late=0.1)
     await asyncio.sleep(soak.rng.uniform(1.0, 3.0))
--- a/soak/run.py
+++ b/soak/run.py
@@ -2,11 +2,11 @@
 
     python -m soak.run --seeds 5 [--first 1] [--seconds 12]
 
-Each seed injects a series of overlapping faults: instances are killed, frozen,
-stopped and reloaded by signals, the store is busy, slow or loses responses, a loopback
-relay disconnects instances and workers, workers crash and execute orders late.
-Clients submit jobs throughout. At the end all faults stop and every accepted job
-must be complete. Only processes that the soak run started are ended.
+Each seed injects a series of overlapping faults: signals kill, freeze, stop and reload
+instances, the store is busy, slow or loses responses, a loopback relay disconnects
+instances and workers, and workers crash and execute orders late. Clients submit jobs
+throughout. Then all faults end, and every accepted job must complete in time. Only
+processes that the soak run started are ended.
 """
 
 from __future__ import annotations
@@ -25,9 +25,10 @@
 from soak.cell import DEADLINE_MS, INSTANCES, Soak, send_request
 from soak.faults import FAULTS
 
-# Limit of the rules for jobs whose state is requested after the end of the traffic.
-FINISH_S = 14.0
-START_S = 10.0
+# Time limit, set by the rules, for the completion of jobs whose state is requested
+# after the end of the traffic.
+COMPLETION_TIMEOUT_S = 14.0
+READY_TIMEOUT_S = 10.0
 
 # Seeds that have failed before, each with the cause.
 REGRESSIONS = {
@@ -48,14 +49,14 @@
     if soak.rng.random() < 0.4:
         steps.append({**step, "count": 1, "after": [0]})
     body = {"spec": f"1000:{took_ms}", "steps": steps}
-    codes = soak.answers.setdefault(job_id, [])
+    statuses = soak.statuses_by_job.setdefault(job_id, [])
     for _ in range(4):
         name = soak.rng.choice(INSTANCES)
         headers = {"Host": "jobs.example", "X-Deadline-Ms": str(DEADLINE_MS)}
         answer = await send_request(
             soak.front_by_name[name], "POST", f"/q/{job_id}", body, headers
         )
-        codes.append(answer.status if answer is not None else 0)
+        statuses.append(answer.status if answer is not None else 0)
         if answer is not None and answer.status == 200:
             soak.accepted[job_id] = time.monotonic()
             return
@@ -63,7 +64,7 @@
 
 
 async def state_of(soak: Soak, job_id: str) -> str:
-    """Return the state of a job, "410", or "no response"."""
+    """Return the state of a job, "410" if it is unknown, or "no response"."""
     for name in INSTANCES:
         headers = {"Host": "jobs.example"}
         answer = await send_request(
@@ -103,7 +104,7 @@
 
 
 async def _wait_until_ready(soak: Soak) -> None:
-    end = time.monotonic() + START_S
+    end = time.monotonic() + READY_TIMEOUT_S
     while time.monotonic() < end:
         if await state_of(soak, "f" * 16) == "410":
             return
@@ -112,7 +113,7 @@
 
 
 async def _await_completion(soak: Soak) -> list[str]:
-    end = time.monotonic() + FINISH_S
+    end = time.monotonic() + COMPLETION_TIMEOUT_S
     open_jobs = set(soak.accepted)
     state_by_job: dict[str, str] = {}
     while open_jobs and time.monotonic() < end:
@@ -122,12 +123,12 @@
                 open_jobs.discard(job_id)
         await asyncio.sleep(0.2)
     broken = [f"job {j} is {state_by_job.get(j)}" for j in sorted(open_jobs)]
-    for job_id, codes in soak.answers.items():
-        if job_id in soak.accepted or any(code not in (429, 503) for code in codes):
+    for job_id, statuses in soak.statuses_by_job.items():
+        if job_id in soak.accepted or any(code not in (429, 503) for code in statuses):
             continue
         state = await state_of(soak, job_id)
         if state not in ("410", "no response"):
-            broken.append(f"job {job_id} was refused with {codes} and is {state}")
+            broken.append(f"job {job_id} was refused with {statuses} and is {state}")
     return broken
 
 
@@ -155,9 +156,16 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=3, help="number of seeds")
     parser.add_argument("--first", type=int, default=1, help="first seed")
-    parser.add_argument("--seconds", type=float, default=12.0, help="of each seed")
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=12.0,
+        help="seconds of traffic and faults for each seed",
+    )
     parser.add_argument("--keep", type=pathlib.Path, help="folder for the logs")
-    parser.add_argument("--regressions", action="store_true", help="seeds that failed")
+    parser.add_argument(
+        "--regressions", action="store_true", help="run the seeds that failed before"
+    )
     arguments = parser.parse_args()
     seeds = list(range(arguments.first, arguments.first + arguments.seeds))
     if arguments.regressions:
@@ -167,7 +175,7 @@
         for seed in seeds
         if not asyncio.run(run_seed(seed, arguments.seconds, arguments.keep))
     ]
-    print(f"{len(seeds) - len(failed)} of {len(seeds)} seeds held: {failed}")
+    print(f"{len(seeds) - len(failed)} of {len(seeds)} seeds passed; failed: {failed}")
     return 1 if failed else 0
 
 
