--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
 """Settings of all tests.
 
-The tests that KNOWN-RED.txt lists run without letting them fail the run. Generated
-input is the same in every run, so that the same code always has the same verdict;
-`pytest --hypothesis-profile=explore` draws new input.
+The tests that KNOWN-RED.txt lists run, but their failures do not fail the test run.
+Hypothesis generates the same input in every run, so that the same code always gives
+the same result; `pytest --hypothesis-profile=explore` generates new input.
 """
 
 import pathlib
@@ -10,7 +10,8 @@
 import pytest
 from hypothesis import HealthCheck, settings
 
-# How long input takes to generate depends on the machine, not on the product.
+# The time to generate input depends on the speed of the machine, not on the tested
+# code, so slow generation must not fail a test.
 settings.register_profile(
     "repeatable",
     derandomize=True,
@@ -26,8 +27,8 @@
 KNOWN_RED = pathlib.Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 
 
-def _listed_tests() -> dict[str, str]:
-    """Return the issue of each listed test by its node id."""
+def _read_known_red() -> dict[str, str]:
+    """Return the issue of each test that KNOWN-RED.txt lists, by node id."""
     if not KNOWN_RED.exists():
         return {}
     issue_by_test = {}
@@ -39,8 +40,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark exactly the listed tests; the summary prints each of them."""
-    issue_by_test = _listed_tests()
+    """Mark exactly the listed tests as xfail; the summary prints each of them."""
+    issue_by_test = _read_known_red()
     for item in items:
         issue = issue_by_test.get(item.nodeid)
         if issue is not None:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -33,7 +33,7 @@
 
 
 def test_every_error_code_is_explained_to_operators() -> None:
-    """Guards against a refusal for which the guide says nothing to do."""
+    """Guards against error codes for which the guide gives no action."""
     load_all_modules()
     codes = {
         kind.code
@@ -75,7 +75,7 @@
         assert {field.name for field in attrs.fields(kind)} <= listed
 
 
-def iter_commands() -> set[str]:
+def command_names() -> set[str]:
     root = typer.main.get_command(cli.app)
     found = set()
     for name, command in root.commands.items():  # type: ignore[attr-defined]
@@ -88,18 +88,18 @@
     """Guards against commands and exit codes that scripts cannot rely on."""
     cells = first_cells("cli.md")
     commands = {re.split(r" (?=[A-Z\[-])", cell)[0] for cell in cells}
-    assert iter_commands() <= commands
+    assert command_names() <= commands
     assert {str(int(code)) for code in ExitCode} <= set(cells)
     assert exit_code_of(errors.NotFoundError("")) is ExitCode.FAILED
 
 
 def test_the_glossary_holds_the_words_of_the_product() -> None:
-    """Guards against pages whose words newcomers cannot look up."""
+    """Guards against terms that new readers cannot look up."""
     assert set(WORDS.split(", ")) <= set(first_cells("glossary.md"))
 
 
 def test_every_error_code_is_listed_with_its_status_and_whether_it_ran() -> None:
-    """Guards against a client that is built from a page that is wrong."""
+    """Guards against clients that rely on a wrong protocol page."""
     load_all_modules()
     page = (DOCS / "protocols.md").read_text()
     listed = {
