--- a/standins/audit.py
+++ b/standins/audit.py
@@ -84,15 +84,16 @@
         if not request.idempotent and count > 1:
             violations.append(Violation("non-idempotent ran twice", request.request_id))
         if request.outcome is Outcome.DONE and count == 0:
-            violations.append(Violation("answered but did not run", request.request_id))
+            violations.append(Violation("done but did not run", request.request_id))
         if request.outcome is Outcome.NOT_RUN and count:
             violations.append(
-                Violation("refused as not run but ran", request.request_id)
+                Violation("reported as not run but ran", request.request_id)
             )
         if request.outcome is Outcome.LOST:
             violations.append(
                 Violation(
-                    "no response of its own", f"{request.request_id} {request.codes}"
+                    "no response, or that of another request",
+                    f"{request.request_id} {request.codes}",
                 )
             )
     return violations
@@ -112,7 +113,7 @@
     recorded: Mapping[str, Mapping[str, Any]],
     workers: Iterable[Mapping[str, Any]],
 ) -> list[Violation]:
-    """Compare the recorded task outcomes of jobs with the ends on the workers."""
+    """Compare the recorded task outcomes of jobs with the ends that workers count."""
     done: Counter[str] = Counter()
     for counters in workers:
         done.update(task for task, result in counters["ends"] if result == "done")
--- a/standins/backends.py
+++ b/standins/backends.py
@@ -1,4 +1,4 @@
-"""Stand-in backend servers: each runner serves requests on its own port.
+"""Stand-in backend servers: each has one runner with a port of its own.
 
 The body `{"work_ms": 20}` sets the run time of a request. The control handler
 sets faults of a runner: `fail_all`, `slow_ms` (added to the run time), `drop`
@@ -24,20 +24,20 @@
 
 @attrs.define
 class Runner:
-    """A stand-in runner with its faults and counters.
+    """The runner of a stand-in backend server, with its faults and counters.
 
     Attributes:
         backend_id: Instance id of the backend server.
         slots: Number of requests that may run at once; not enforced here.
         fence: Refuses requests with an epoch older than the highest one seen.
-        active: Number of requests that run now.
+        active: Number of requests running now.
         most_active: Largest value of `active` so far.
         runs: Number of runs by request id.
         teams: Number of runs by team.
         refused: Number of requests refused for a stale epoch.
         fail_all: Whether every request ends with status 500.
         drop: Whether the connection is closed instead of a response.
-        slow_ms: Time added to every run.
+        slow_ms: Time added to every run, in ms.
     """
 
     backend_id: str
--- a/standins/cell.py
+++ b/standins/cell.py
@@ -29,9 +29,9 @@
 
 OPERATOR_SECRET = "operator-secret-of-the-stand-in-cell"
 START_TIMEOUT_S = 30.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 # Lines printed from the beginning and from the end of each log; about one screen
-# a process.
+# per process.
 LOG_EXCERPT_LINES = 25
 
 
@@ -58,7 +58,7 @@
         extra_settings: Settings that every entry instance gets in addition.
         process_by_name: Processes started so far, by name; an entry instance's
             process has the instance's id as its name.
-        entry_by_id: Entry instances started so far.
+        entry_by_id: Plans of the entry instances started so far.
         instances: The platform's list of instances, as it is published next.
         platform_port: Port of the stand-in platform.
         relay_port: Port of the relay's control handler; 0 without a relay.
@@ -148,21 +148,21 @@
         )
 
     async def replace_entry(self, instance_id: str, name: str) -> EntryPlan:
-        """Kill an entry instance, start another and replace the first in the list."""
+        """Kill an entry instance, start another in its zone and publish the change."""
         zone = self.entry_by_id[instance_id].zone
         self.process_by_name[instance_id].end()
         plan = self.plan_entry(zone, name)
         self.start_entry(plan)
-        await self.publish_instances(instance_id)
+        await self.remove_instances(instance_id)
         return plan
 
-    async def publish_instances(self, *removed: str) -> None:
-        """Remove instances that have ended and publish the platform's list."""
+    async def remove_instances(self, *removed: str) -> None:
+        """Remove instances by id from the platform's list and publish the list."""
         self.instances = [i for i in self.instances if i["instance_id"] not in removed]
-        await self.list_instances()
+        await self.publish_instances()
 
     def plan_entry(self, zone: str, name: str) -> EntryPlan:
-        """Return an entry instance with a free address and free ports in a zone."""
+        """Plan an entry instance of a zone with a free address and free ports."""
         number = len(self.entry_by_id) + 1
         host = f"127.0.{self.zones.index(zone) + 1}.{number}"
         return EntryPlan(name, zone, host, free_port(host), free_port(host))
@@ -190,7 +190,7 @@
         url = f"http://{HOST}:{self.relay_port}/control"
         await self.fetch(url, "POST", body={"rules": rules})
 
-    async def list_instances(self, **changes: Any) -> None:
+    async def publish_instances(self, **changes: Any) -> None:
         """Publish the platform's list of instances.
 
         Args:
@@ -314,10 +314,10 @@
                 raise TimeoutError(
                     f"{is_done.__qualname__} did not become true in time"
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def owner_of(self, shard: str) -> EntryPlan:
-        """Wait until a shard has an owner and return that entry instance."""
+        """Wait until a shard has an owner and return the owner's plan."""
         owners: list[str] = []
 
         async def is_owned() -> bool:
@@ -334,7 +334,7 @@
         return self.entry_by_id[owners[-1]]
 
     def running_entries(self) -> list[EntryPlan]:
-        """Return the entry instances whose process runs."""
+        """Return the plans of the entry instances whose process runs."""
         return [
             plan
             for plan in self.entry_by_id.values()
@@ -367,7 +367,7 @@
         until = time.monotonic() + START_TIMEOUT_S
         # A new instance responds with 503 until it is admitted as a member.
         while response.code == 503 and time.monotonic() < until:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             response = await self.fetch(url, "PUT", body=document)
         if response.code != 200:
             raise RuntimeError(f"PUT {url}: {response.code} {response.body!r}")
@@ -385,7 +385,7 @@
 
         async def is_up() -> bool:
             try:
-                await self.list_instances()
+                await self.publish_instances()
             except OSError:
                 return False
             return True
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,10 +1,10 @@
 """Stand-in for the users' platform: store, workers and operator in one process.
 
 It implements the part of the platform's documented protocol that step jobs need and
-checks invariants of the orders to workers. The control handler accepts `mode` of the
-store (`ok`, `busy`, `slow`, `lost`), `crash` (index of a worker to restart) and `late`
-(share of the orders to workers that get no response and are executed later), and
-returns the violations found.
+checks that the starts on the workers break no invariant. The control handler accepts
+`mode` of the store (`ok`, `busy`, `slow`, `lost`), `crash` (index of a worker to
+restart) and `late` (share of the orders to workers that get no response and are
+executed later), and returns the violations found.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def put(self, table: str, part: str, key: str, value: bytes | None) -> None:
-        """Write or remove a row in a separate transaction."""
+        """Write a row, or remove it if the value is None, in its own transaction."""
         self.version += 1
         self._write(table, part, key, value)
         self._notify()
@@ -96,16 +96,16 @@
 
 @attrs.define
 class Worker:
-    """A worker that holds its runs in memory and ends them by the clock.
+    """A worker that holds its runs in memory and ends each after its run time.
 
     Attributes:
         worker_id: Id that requests must name in `X-Expect-Instance`.
         address: Address that the store lists.
         cpu: Capacity in the unit of the tasks' specs.
-        audit: Checks the starts of all workers.
+        audit: Checks the starts on all workers.
         born: Wall-clock time of the last start in ms; identifies the incarnation.
         fence: Highest fencing token seen.
-        lease_ms: When the lease ends, by the stand-in's clock.
+        lease_ms: Time at which the lease ends, by the stand-in's clock.
         running: End time in ms and CPU of each run, by task and run number.
         highest_run_by_task: Highest run number started or stopped.
         ended: Number, task, run, outcome and detail of each unacknowledged end.
@@ -149,7 +149,8 @@
         self.ended.append([self.last_end_number, task, run, outcome, ""])
         self.audit.ended(task, run, outcome)
 
-    def _admits(self, body: dict[str, Any]) -> bool:
+    def _admit(self, body: dict[str, Any]) -> bool:
+        """Check an order's fencing token; if it is current, extend the lease."""
         if body.get("fence", 0) < self.fence:
             return False
         self.fence = body.get("fence", 0)
@@ -158,10 +159,14 @@
         return True
 
     def start(self, body: dict[str, Any]) -> str:
-        """Start a run; returns the reason of a refusal or an empty string."""
+        """Start a run.
+
+        Returns:
+            The reason of a refusal or an empty string.
+        """
         self.end_due_runs()
         task, run = body["task"], body["run"]
-        if not self._admits(body):
+        if not self._admit(body):
             return "fence"
         if (task, run) in self.running:
             return ""
@@ -183,7 +188,7 @@
             The reason of a refusal or an empty string.
         """
         self.end_due_runs()
-        if not self._admits(body):
+        if not self._admit(body):
             return "fence"
         task, run = body["task"], body["run"]
         self.highest_run_by_task[task] = max(run, self.highest_run_by_task.get(task, 0))
@@ -198,7 +203,7 @@
             The reason of a refusal or an empty string.
         """
         self.end_due_runs()
-        if not self._admits(body):
+        if not self._admit(body):
             return "fence"
         acknowledged = body.get("lastSeen", 0)
         for entry in self.ended:
@@ -263,7 +268,7 @@
     Attributes:
         store: The store.
         workers: The workers; `crash` names them by index.
-        audit: The checks of the workers' starts.
+        audit: Checks the starts on all workers.
         unanswered_share: Share from 0 to 1 of the orders that get no response and
             are executed later.
     """
--- a/standins/load.py
+++ b/standins/load.py
@@ -40,8 +40,13 @@
 class Outcome(enum.Enum):
     """What a client knows about a request or a job.
 
-    `LOST` is a violation: no response, or a response that belongs to another
-    request, or an accepted job that has not ended.
+    Attributes:
+        DONE: It succeeded; for a submission, the job was accepted.
+        NOT_RUN: It was refused, or no connection was made; it did not run.
+        UNKNOWN: It may have run.
+        FAILED: It ran, or the job ended, without success.
+        LOST: A violation: no response, or a response that belongs to another
+            request, or an accepted job that has not ended.
     """
 
     DONE = "done"
@@ -121,7 +126,7 @@
             test kills, freezes or disconnects them.
         sent_requests: Requests sent so far.
         sent_jobs: Jobs sent so far.
-        workers: Counters of the workers after the run.
+        workers: Counters of the workers after the run, by id.
     """
 
     cell: Cell
@@ -142,19 +147,19 @@
     async def run(self) -> None:
         """Send everything and return when each request and job is classified."""
         started = time.monotonic()
-        work: list[Awaitable[None]] = []
+        sends: list[Awaitable[None]] = []
         for number in range(self.requests):
             request = self._make_request(number)
             self.sent_requests.append(request)
-            work.append(self._send_when_due(started, number, self.requests, request))
+            sends.append(self._send_when_due(started, number, self.requests, request))
         for number in range(self.jobs):
             job = SentJob(f"{self.prefix}-job-{number}", self.tasks_per_job)
             self.sent_jobs.append(job)
-            work.append(self._send_when_due(started, number, self.jobs, job))
-        await asyncio.gather(*work)
+            sends.append(self._send_when_due(started, number, self.jobs, job))
+        await asyncio.gather(*sends)
 
     async def wait_for_jobs(self, timeout_s: float = 25.0) -> None:
-        """Wait until no accepted job is open, and set the outcome of accepted jobs."""
+        """Wait until the accepted jobs end; those open after `timeout_s` are lost."""
         accepted = [job for job in self.sent_jobs if job.outcome is Outcome.DONE]
         for job in accepted:
             job.outcome = Outcome.LOST
@@ -171,7 +176,7 @@
             await asyncio.sleep(POLL_INTERVAL_MS / 1000)
 
     async def read_jobs(self) -> dict[str, dict[str, Any]]:
-        """Return the jobs by id, as an entry instance without faults lists them."""
+        """Return the jobs that an entry instance without faults lists, by id."""
         for plan in self.cell.running_entries():
             if plan.url in self.faulty_urls:
                 continue
@@ -211,7 +216,7 @@
         may_retry: bool,
         codes: list[str],
     ) -> _Attempt:
-        """Try entry instances in turn while a retry is allowed and may help."""
+        """Try entry instances in turn until the outcome is final or retries end."""
         is_unknown = False
         until = time.monotonic() + RETRY_WINDOW_MS / 1000
         for index in itertools.count():
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -27,11 +27,11 @@
 
     Attributes:
         table: Rows of the table service.
-        object_by_key: Contents of the object store.
+        object_by_key: Contents of the objects in the object store.
         instances: Published list of instances.
-        down: Whether all requests get no response.
+        down: Whether no request gets a response.
         slow_ms: Delay of every response.
-        lose_answers: Number of next commits that get no response.
+        lose_answers: How many of the next commits get no response.
         cut: Ids of instances that get no response.
         transactions: Number of commits.
         rows_written: Number of rows that the commits wrote.
@@ -88,7 +88,7 @@
 
 
 class RowsHandler(_Handler):
-    """Returns rows that changed after a version."""
+    """Returns the rows of a key or a prefix that changed after a version."""
 
     def get(self) -> None:
         self.state.reads += 1
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -26,7 +26,7 @@
 
 @attrs.define
 class PortPicker:
-    """Picks free ports and none of them twice.
+    """Picks free ports, none of them twice.
 
     Attributes:
         host: IP address on which the ports are free.
@@ -73,13 +73,13 @@
             )
         return cls(name, popen, log)
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal if the process is still running."""
         if self.popen.poll() is None:
-            self.popen.send_signal(number)
+            self.popen.send_signal(signal_number)
 
     def end(self) -> None:
-        """Kill the process, also if it is stopped by a signal, and wait for its end."""
+        """Kill the process, even if a signal has stopped it, and wait for its end."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.kill()
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -62,7 +62,7 @@
         self.changed = asyncio.Event()
 
     def mode(self, source: str, target: str) -> str:
-        """Return the mode of connections from a source to a target."""
+        """Return the mode of the first matching rule, or `pass` if none matches."""
         for rule_source, rule_target, mode in self.rules:
             if rule_source in ("", source) and rule_target in ("", target):
                 return mode
--- a/standins/scenario.py
+++ b/standins/scenario.py
@@ -1,4 +1,4 @@
-"""Runs a load in a cell, injects faults meanwhile and audits the outcome."""
+"""Runs a load in a cell, injects faults during the run and audits the outcome."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     cell_options: dict[str, Any] | None = None,
     **load_options: Any,
 ) -> Load:
-    """Run a load, inject faults meanwhile and audit the outcome.
+    """Start a cell, run a load, inject faults during the run and audit the outcome.
 
     Args:
         folder: Folder for the cell's settings and logs.
@@ -35,6 +35,9 @@
         cell_options: Attributes of the cell.
         load_options: Attributes of the load.
 
+    Returns:
+        The load with the outcome of each request and job.
+
     Raises:
         AssertionError: If the audit finds a broken invariant.
     """
--- a/standins/workers.py
+++ b/standins/workers.py
@@ -27,7 +27,7 @@
     HeartbeatLease,
 )
 
-# The timers run every 0.1 s; a gap longer than this shows that the process was frozen.
+# The checks run every 0.1 s; a gap longer than this shows that the process was frozen.
 FROZEN_AFTER_S = 1.0
 
 
@@ -87,7 +87,7 @@
         overcommitted: How often a start exceeded the capacity of a resource.
         refused: Number of refusals by reason.
         hellos: Number of accepted `hello` messages.
-        last_timer_s: Wall-clock time in seconds when the timers ran last.
+        last_check_s: Wall-clock time in seconds of the last periodic check.
     """
 
     worker_id: str
@@ -107,10 +107,14 @@
     overcommitted: int = 0
     refused: Counter[str] = attrs.field(factory=Counter)
     hellos: int = 0
-    last_timer_s: float = attrs.field(factory=time.time)
+    last_check_s: float = attrs.field(factory=time.time)
 
     def start(self, document: dict[str, Any], epoch: int) -> str:
-        """Start a task; returns the reason of a refusal or an empty string."""
+        """Start a task.
+
+        Returns:
+            The reason of a refusal or an empty string.
+        """
         task = RunningTask.from_document(document)
         if not self.fence.admit(epoch):
             return "stale_epoch"
@@ -144,7 +148,7 @@
         as stopped from the beginning of the freeze.
         """
         now = time.time()
-        ended = self.last_timer_s if now - self.last_timer_s > FROZEN_AFTER_S else now
+        ended = self.last_check_s if now - self.last_check_s > FROZEN_AFTER_S else now
         for task in list(self.running_by_task.values()):
             self._remove_task(task, ended)
         session, self.session = self.session, None
@@ -293,12 +297,13 @@
         self.write({})
 
 
-async def _run_timers(worker: Worker) -> None:
+async def _run_periodic_checks(worker: Worker) -> None:
+    """Check the lease every 0.1 s and send heartbeats at their interval."""
     elapsed_ms = 0
     while True:
         await asyncio.sleep(0.1)
         worker.check_lease()
-        worker.last_timer_s = time.time()
+        worker.last_check_s = time.time()
         elapsed_ms += 100
         if elapsed_ms >= HEARTBEAT_INTERVAL_MS and worker.session is not None:
             elapsed_ms = 0
@@ -306,7 +311,7 @@
 
 
 def serve(worker: Worker, host: str, port: int) -> asyncio.Task[None]:
-    """Start the HTTP server of a worker and return the task of its timers."""
+    """Start the HTTP server of a worker and return the task of its periodic checks."""
     arguments = {"worker": worker}
     application = Application(
         [
@@ -315,14 +320,14 @@
         ]
     )
     HTTPServer(application).listen(port, address=host)
-    return asyncio.ensure_future(_run_timers(worker))
+    return asyncio.ensure_future(_run_periodic_checks(worker))
 
 
 async def main(path: str) -> None:
     """Serve the workers listed in a JSON file until the process is killed."""
     with open(path, encoding="utf-8") as file:
         documents = json.load(file)
-    timers = [
+    check_tasks = [
         serve(
             Worker(document["instance_id"], document["capacity"]),
             document["host"],
@@ -331,7 +336,7 @@
         for document in documents
     ]
     print("ready", flush=True)
-    await asyncio.gather(*timers)
+    await asyncio.gather(*check_tasks)
 
 
 if __name__ == "__main__":
--- a/tests/test_faults_backends.py
+++ b/tests/test_faults_backends.py
@@ -11,8 +11,8 @@
 from standins.load import Load, Outcome
 from standins.scenario import TEAM, run_load
 
-# Time after which a change of the platform's list or of the configuration is in force.
-BOUND_S = 8.0
+# Longest time until a change of the platform's list or the configuration is in force.
+CHANGE_BOUND_S = 8.0
 KILLED = "leeds-backend-1"
 
 
@@ -32,22 +32,22 @@
             load = Load(cell, TEAM, secret, **load_options)
             running = asyncio.create_task(load.run())
 
-            seen: set[str] = set()
+            seen_ids: set[str] = set()
 
-            async def is_busy() -> bool:
-                """Return whether a non-idempotent request has just started."""
-                fresh = set((await cell.control(KILLED))["runs"]) - seen
-                seen.update(fresh)
-                return any(int(name.rpartition("-")[2]) % 2 for name in fresh)
+            async def has_new_non_idempotent() -> bool:
+                """Return whether a non-idempotent (odd) request has just started."""
+                started_ids = set((await cell.control(KILLED))["runs"]) - seen_ids
+                seen_ids.update(started_ids)
+                return any(int(name.rpartition("-")[2]) % 2 for name in started_ids)
 
-            await cell.wait_until(is_busy)
-            last = await cell.control(KILLED)
+            await cell.wait_until(has_new_non_idempotent)
+            last_counters = await cell.control(KILLED)
             cell.process_by_name[KILLED].end()
             cell.instances = [i for i in cell.instances if i["instance_id"] != KILLED]
             await running
-            backends = {**await cell.counters("backend"), KILLED: last}
+            backends = {**await cell.counters("backend"), KILLED: last_counters}
             assert check_requests(load.sent_requests, backends.values()) == []
-            by_kind = {
+            outcomes_by_idempotence = {
                 is_idempotent: {
                     request.outcome
                     for request in load.sent_requests
@@ -55,8 +55,8 @@
                 }
                 for is_idempotent in (True, False)
             }
-            assert by_kind[True] == {Outcome.DONE}
-            assert by_kind[False] <= {Outcome.DONE, Outcome.UNKNOWN}
+            assert outcomes_by_idempotence[True] == {Outcome.DONE}
+            assert outcomes_by_idempotence[False] <= {Outcome.DONE, Outcome.UNKNOWN}
 
     asyncio.run(run())
 
@@ -66,8 +66,8 @@
 
     async def leave(cell: Cell, load: Load) -> None:
         await asyncio.sleep(1.0)
-        await cell.list_instances(**{"leeds-backend-1": {"leaving": True}})
-        await asyncio.sleep(BOUND_S)
+        await cell.publish_instances(**{"leeds-backend-1": {"leaving": True}})
+        await asyncio.sleep(CHANGE_BOUND_S)
         before = (await cell.control("leeds-backend-1"))["runs"]
         await asyncio.sleep(2.0)
         assert (await cell.control("leeds-backend-1"))["runs"] == before
@@ -125,7 +125,7 @@
 
             reported = Counter(await asyncio.gather(*map(send, range(40))))
             backends = await cell.counters("backend")
-            ran = sum(len(found["runs"]) for found in backends.values())
+            ran = sum(len(server["runs"]) for server in backends.values())
             assert reported == {"unknown": ran, "no": 40 - ran}
             assert check_slots(backends) == []
 
--- a/tests/test_faults_operators.py
+++ b/tests/test_faults_operators.py
@@ -8,7 +8,7 @@
 from standins.cell import Cell
 from standins.scenario import TEAM
 
-# Time after which a change of the configuration is in force on every instance.
+# Longest time until a change of the configuration is in force on every instance.
 CONFIG_BOUND_S = 8.0
 ROUNDS = 10
 
@@ -22,7 +22,7 @@
             urls = [plan.url for plan in cell.running_entries()]
             for round_number in range(ROUNDS):
                 answer = await cell.fetch(f"{urls[0]}/v1/teams/{TEAM}")
-                match = {"If-Match": answer.headers["ETag"]}
+                if_match = {"If-Match": answer.headers["ETag"]}
                 shares = [2 + 2 * round_number, 3 + 2 * round_number]
                 answers = await asyncio.gather(
                     *(
@@ -30,7 +30,7 @@
                             f"{url}/v1/teams/{TEAM}",
                             "PUT",
                             body={"share": share},
-                            headers=match,
+                            headers=if_match,
                         )
                         for url, share in zip(urls, shares, strict=True)
                     )
@@ -84,10 +84,10 @@
                 await is_refused(number)
                 await asyncio.sleep(0.1)
             backends = await cell.counters("backend")
-            before = sum(len(found["runs"]) for found in backends.values())
+            before = sum(len(server["runs"]) for server in backends.values())
             for extra in range(10):
                 await is_refused(number + 1 + extra)
             backends = await cell.counters("backend")
-            assert sum(len(found["runs"]) for found in backends.values()) == before
+            assert sum(len(server["runs"]) for server in backends.values()) == before
 
     asyncio.run(run())
--- a/tests/test_faults_platform.py
+++ b/tests/test_faults_platform.py
@@ -9,7 +9,7 @@
 from standins.load import Load, Outcome
 from standins.scenario import assert_most_work_done, run_load
 
-# The worker lease is the longest lease.
+# Time after which all leases have lapsed; the worker lease is the longest.
 LEASES_LAPSED_S = (WORKER_LEASE_MS + DRIFT_MARGIN_MS) / 1000
 
 
--- a/tests/test_faults_workers.py
+++ b/tests/test_faults_workers.py
@@ -13,7 +13,7 @@
 from standins.scenario import TEAM, run_load
 
 ONE_ZONE = {"zones": ("leeds",), "entries_per_zone": 2, "is_relayed": True}
-TASKS = {"requests": 100, "jobs": 50, "run_ms": 300}
+LOAD_OPTIONS = {"requests": 100, "jobs": 50, "run_ms": 300}
 LEASE_LAPSED_S = (WORKER_LEASE_MS + DRIFT_MARGIN_MS) / 1000
 
 
@@ -33,7 +33,7 @@
             await cell.cut()
             await asyncio.sleep(0.6)
 
-    load = asyncio.run(run_load(tmp_path, cut, cell_options=ONE_ZONE, **TASKS))
+    load = asyncio.run(run_load(tmp_path, cut, cell_options=ONE_ZONE, **LOAD_OPTIONS))
     _assert_jobs_done(load)
     assert load.workers["leeds-worker-1"]["hellos"] > 1
 
@@ -45,7 +45,7 @@
     async def inject_faults(cell: Cell, load: Load) -> Counters:
         await asyncio.sleep(1.5)
         await cell.cut(("", killed, "drop"), ("", cut, "stall"))
-        last = await cell.control(killed)
+        last_counters = await cell.control(killed)
         cell.process_by_name[killed].end()
         ended = time.time()
         cell.instances = [i for i in cell.instances if i["instance_id"] != killed]
@@ -53,12 +53,12 @@
         await asyncio.sleep(LEASE_LAPSED_S)
         cell.process_by_name[frozen].send(signal.SIGCONT)
         await cell.cut()
-        return {killed: with_closed_intervals(last, ended)}
+        return {killed: with_closed_intervals(last_counters, ended)}
 
     cell_options = {**ONE_ZONE, "own_process": (killed, frozen)}
     _assert_jobs_done(
         asyncio.run(
-            run_load(tmp_path, inject_faults, cell_options=cell_options, **TASKS)
+            run_load(tmp_path, inject_faults, cell_options=cell_options, **LOAD_OPTIONS)
         )
     )
 
@@ -77,7 +77,7 @@
 
             async def has_all_running() -> bool:
                 workers = await cell.counters("worker")
-                return sum(len(found["running"]) for found in workers.values()) == 4
+                return sum(len(worker["running"]) for worker in workers.values()) == 4
 
             async def has_stopped() -> bool:
                 return not (await cell.control("leeds-worker-1"))["running"]
@@ -107,7 +107,7 @@
         run_load(tmp_path, fail, cell_options=cell_options, **load_options)
     )
     _assert_jobs_done(load)
-    starts = sum(len(found["intervals"]) for found in load.workers.values())
+    starts = sum(len(worker["intervals"]) for worker in load.workers.values())
     broken = load.workers["leeds-worker-1"]["intervals"]
     tenth_failure = sorted(end for _, _, end in broken)[9]
     later = [start for _, start, _ in broken if start > tenth_failure]
@@ -127,14 +127,14 @@
 
             async def has_all_running() -> bool:
                 workers = await cell.counters("worker")
-                return sum(len(found["running"]) for found in workers.values()) == 4
+                return sum(len(worker["running"]) for worker in workers.values()) == 4
 
             async def has_stopped() -> bool:
                 return not (await cell.control(cut))["running"]
 
             await cell.wait_until(has_all_running)
             workers = await cell.counters("worker")
-            cut = next(name for name, found in workers.items() if found["running"])
+            cut = next(name for name, worker in workers.items() if worker["running"])
             await cell.cut(("", cut, "drop"))
             owner = await cell.owner_of("leeds.0")
             cell.process_by_name[owner.instance_id].end()
--- a/tests/test_faults_zones.py
+++ b/tests/test_faults_zones.py
@@ -9,12 +9,12 @@
 from standins.load import Load, Outcome
 from standins.scenario import TEAM, run_load
 
-# Time after which a change of the configuration is in force on every instance.
+# Longest time until a change of the configuration is in force on every instance.
 CONFIG_BOUND_S = 8.0
 
 
 async def _set_zone(cell: Cell, zone: str, state: str) -> float:
-    """Set the state of a zone and return the time of the response."""
+    """Set the state of a zone and return when the response arrived."""
     url = cell.running_entries()[-1].url
     answer = await cell.fetch(f"{url}/v1/zones/{zone}", "PUT", body={"state": state})
     assert answer.code == 200
@@ -31,7 +31,7 @@
 
 
 def test_no_start_in_a_zone_that_was_taken_out(tmp_path: pathlib.Path) -> None:
-    """Guards against starts in a zone later than the change must be in force."""
+    """Guards against starts in a zone once its removal must be in force."""
 
     async def take_out(cell: Cell, load: Load) -> None:
         await asyncio.sleep(1.5)
@@ -93,7 +93,11 @@
 
             async def zones_in_use() -> set[str]:
                 workers = await cell.counters("worker")
-                return {w.partition("-")[0] for w in workers if workers[w]["running"]}
+                return {
+                    worker_id.partition("-")[0]
+                    for worker_id in workers
+                    if workers[worker_id]["running"]
+                }
 
             async def is_started() -> bool:
                 return bool(await zones_in_use())
