--- a/formal/acceptance.py
+++ b/formal/acceptance.py
@@ -6,7 +6,9 @@
 
 from formal.bounded import Expr, Sort, Spec, State, Step, updates
 
+# Progress of the accepting instance's write.
 NEW, SENT, APPLIED, LOST, DONE = range(5)
+# What the client was told.
 TOLD_NOTHING, TOLD_ACCEPTED, TOLD_NOT_RUN, TOLD_UNKNOWN = range(4)
 
 SPEC = Spec(
@@ -70,7 +72,7 @@
 
 @SPEC.action()
 def write_answered(s: State, _m: str) -> Step:
-    """The client is told of the acceptance; the owner is notified of the job."""
+    """The instance tells the client of the acceptance and notifies the owner."""
     return s["stage"] == APPLIED, updates(
         ("stage", DONE), ("told", TOLD_ACCEPTED), ("notice", z3.BoolVal(True))
     )
--- a/formal/bounded.py
+++ b/formal/bounded.py
@@ -2,6 +2,9 @@
 
 A step is one action followed by any passage of time. A process may therefore pause
 for any time between two of its steps, and every interleaving is covered.
+
+A mutation replaces one rule of a specification by a faulty one. The check of the
+invariant that the rule protects must then fail.
 """
 
 from __future__ import annotations
@@ -22,6 +25,7 @@
 NOW = "now"
 
 Expr = Any
+# Guard of an action and the next values of the variables that it changes, by name.
 Step = tuple[Expr, Mapping[str, Expr]]
 
 
@@ -53,7 +57,16 @@
 
 
 class Verdict(enum.Enum):
-    """The verdict of a check."""
+    """The verdict of a check.
+
+    Attributes:
+        HOLDS: No run up to the depth violates an invariant.
+        VIOLATED: Some run up to the depth violates an invariant.
+        REACHED: Some run up to the depth reaches the goal.
+        UNREACHED: No run up to the depth reaches the goal.
+        INDUCTIVE: The lemmas are inductive and imply every invariant.
+        NOT_INDUCTIVE: The lemmas are not inductive or do not imply an invariant.
+    """
 
     HOLDS = "holds"
     VIOLATED = "violated"
@@ -71,7 +84,8 @@
         verdict: Verdict of the check.
         depth: Number of steps explored, or the length of the run that was found.
         seconds: Duration of the check.
-        trace: Actions of the run that was found, each with the common time.
+        trace: Actions of the run that was found, each with the common time. If the
+            lemmas are not inductive, the failed case comes first.
     """
 
     verdict: Verdict
@@ -157,18 +171,23 @@
 
     def state(self, index: int) -> State:
         """Return fresh variables for the state after `index` steps."""
-        make = {Sort.INT: z3.Int, Sort.BOOL: z3.Bool}
-        sorts = {NOW: Sort.INT, **dict.fromkeys(self.clocks, Sort.INT)}
-        sorts.update(self.sort_by_name)
-        return State({n: make[k](f"{n}@{index}") for n, k in sorts.items()})
+        constructor_by_sort = {Sort.INT: z3.Int, Sort.BOOL: z3.Bool}
+        sort_by_name = {NOW: Sort.INT, **dict.fromkeys(self.clocks, Sort.INT)}
+        sort_by_name.update(self.sort_by_name)
+        return State(
+            {
+                name: constructor_by_sort[sort](f"{name}@{index}")
+                for name, sort in sort_by_name.items()
+            }
+        )
 
     def clocks_valid(self, state: State) -> Expr:
-        """Return the constraint that every clock is within the skew."""
+        """Return the constraint that every clock is 0 to SKEW_MS ahead."""
         now = state[NOW]
-        ahead = [
+        within_skew = [
             z3.And(state[c] >= now, state[c] <= now + SKEW_MS) for c in self.clocks
         ]
-        return z3.And(now >= 0, *ahead)
+        return z3.And(now >= 0, *within_skew)
 
     def step(
         self, before: State, after: State, index: int, mutation: str
@@ -203,6 +222,9 @@
 
     Returns:
         Length and actions of a shortest run, or None if there is none.
+
+    Raises:
+        TimeoutError: z3 did not decide whether a run of some length exists.
     """
     solver = z3.SolverFor("QF_LIA")
     state = spec.state(0)
--- a/formal/check.py
+++ b/formal/check.py
@@ -1,4 +1,7 @@
-"""Checks every specification and prints a table: `python -m formal.check`."""
+"""Checks every specification and prints a table: `python -m formal.check`.
+
+`--deep` explores further steps; `--traces` also prints the runs that were found.
+"""
 
 from __future__ import annotations
 
--- a/formal/config.py
+++ b/formal/config.py
@@ -16,11 +16,14 @@
 INSTANCES = ("a", "b")
 PEER = {"a": "b", "b": "a"}
 EACH_INSTANCE = tuple((i,) for i in INSTANCES)
-# From docs/design.md, question 3 and invariant 11.
+# Time for which a read or a promise confirms a document, and the time after which no
+# instance serves without an accepted change. From docs/design.md, question 3 and
+# invariant 11.
 FRESH_MS = 5_000
 IN_FORCE_MS = 8_000
 FIRST_VERSION = 1
 LAST_VERSION = 3
+# Progress of an instance's outstanding change.
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
 # Progress of a read or of a request for a promise, after IDLE.
 ASKED, RESPONDED = 1, 2
@@ -39,6 +42,7 @@
     {
         # The document in the table, and the number of accepted changes by part.
         **dict.fromkeys(("version", "p", "q", "changes_p", "changes_q"), Sort.INT),
+        # The time at which an operator was told that version n is accepted.
         **{f"told_at_{n}": Sort.INT for n in range(2, LAST_VERSION + 1)},
         **{f"{name}_{i}": Sort.INT for name in INTS for i in INSTANCES},
         **{f"{name}_{i}": Sort.BOOL for name in BOOLS for i in INSTANCES},
@@ -313,8 +317,8 @@
     for i in INSTANCES:
         for n in range(2, LAST_VERSION + 1):
             told = s[f"told_at_{n}"] != NOT_TOLD
-            late = z3.And(told, s[NOW] > s[f"told_at_{n}"] + IN_FORCE_MS)
-            parts.append(z3.Not(z3.And(serves(s, i), s["applied", i] < n, late)))
+            overdue = z3.And(told, s[NOW] > s[f"told_at_{n}"] + IN_FORCE_MS)
+            parts.append(z3.Not(z3.And(serves(s, i), s["applied", i] < n, overdue)))
     return z3.And(*parts)
 
 
--- a/formal/grants.py
+++ b/formal/grants.py
@@ -16,6 +16,7 @@
 LIMIT = 2
 # Progress of an owner's outstanding transaction.
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
+# Known version of the row before the owner's first read.
 UNREAD = -1
 
 WRITE_PARTS = ("check", "epoch", "own", "other")
@@ -53,7 +54,7 @@
 def initial(s: State) -> Expr:
     """Shard s holds the whole limit and may have sent the return of one unit."""
     parts = [s["version"] == 1, s["used", "s"] >= 0, s["used", "r"] == 0]
-    asked = z3.And(
+    returning = z3.And(
         s["write", "s"] == SENT,
         s["giving", "s"],
         s["usable", "s"] == LIMIT - 1,
@@ -65,7 +66,7 @@
     idle = z3.And(
         s["write", "s"] == IDLE, z3.Not(s["giving", "s"]), s["usable", "s"] == LIMIT
     )
-    parts += [z3.Or(asked, idle), s["used", "s"] <= s["usable", "s"]]
+    parts += [z3.Or(returning, idle), s["used", "s"] <= s["usable", "s"]]
     parts += [s["write", "r"] == IDLE, z3.Not(s["giving", "r"]), s["usable", "r"] == 0]
     for k, grant in (("s", LIMIT), ("r", 0)):
         parts.append(s["grant", k] == grant)
@@ -162,6 +163,7 @@
 
 
 def _accepted(s: State, m: str, k: str, slot: str) -> Expr:
+    """Return whether the table accepts the "write" or the "late" write of a shard."""
     checks = []
     if m != NO_CAS:
         checks.append(s["version"] == s[f"{slot}_check", k])
--- a/formal/grants_lemmas.py
+++ b/formal/grants_lemmas.py
@@ -58,7 +58,7 @@
 
 @SPEC.lemma
 def writes_keep_the_limit(s: State) -> Expr:
-    """A write that can still be applied stays within the limit and covers the use."""
+    """A write that can still be applied is within the limit and not below the use."""
     parts = []
     for k in SHARDS:
         parts += [s["write", k] >= IDLE, s["write", k] <= UNKNOWN]
--- a/formal/ownership.py
+++ b/formal/ownership.py
@@ -19,9 +19,12 @@
 IDLE, SENT, APPLIED, REJECTED, UNKNOWN = range(5)
 # Progress of a read, after IDLE.
 ASKED, SERVED = 1, 2
+# Kinds of write.
 RENEW, TAKE, RELEASE = range(3)
 
 WRITE_PARTS = ("kind", "check", "epoch", "id")
+# On the instance's clock, `since` is when it first saw the seen version, `until` is the
+# end of its lease and `asked` is when it sent its write.
 INTS = (
     *("seen_version", "seen_owner", "seen_epoch", "since", "epoch", "version", "until"),
     *("reading", "read_asked", "read_version", "read_owner", "read_epoch", "read_id"),
@@ -306,5 +309,5 @@
 
 @SPEC.goal
 def renewed(s: State) -> Expr:
-    """The first holder has renewed its lease and holds it."""
+    """The first holder holds the shard by a renewal that it sent after 6 s."""
     return z3.And(holds(s, "a"), s["epoch", "a"] == 1, s["until", "a"] > 12_000)
--- a/formal/requests.py
+++ b/formal/requests.py
@@ -1,6 +1,6 @@
 """Non-idempotent requests to a backend server.
 
-The copies c and d are one request that was submitted twice (`same_id`) or two
+The submissions c and d are one request that was submitted twice (`same_id`) or two
 requests, dispatched by the owners of one shard or of two (`same_shard`). The owner
 reads the ledger row, writes it with a check and only then sends the request. The
 backend server has one slot for the shard. Each step may be delayed.
@@ -12,14 +12,15 @@
 
 from formal.bounded import Expr, Sort, Spec, State, Step, updates
 
-COPIES = ("c", "d")
-OTHER_COPY = {"c": "d", "d": "c"}
-EACH_COPY = tuple((c,) for c in COPIES)
-# Progress of one copy. ABSENT: the ledger was read and doesn't hold the id.
+SUBMISSIONS = ("c", "d")
+OTHER_SUBMISSION = {"c": "d", "d": "c"}
+EACH_SUBMISSION = tuple((c,) for c in SUBMISSIONS)
+# Progress of one submission. ABSENT: the ledger was read and doesn't hold the id.
 NEW, ABSENT, WRITING, WRITTEN, REFUSED, RECORDED, SENT, RAN, NOT_RUN, DONE = range(10)
-# What the client was told. TOLD_DUPLICATE means that this copy did not run.
+# What the client was told. TOLD_DUPLICATE means that this submission did not run.
 TOLD_NOTHING, TOLD_RAN, TOLD_NOT_RUN, TOLD_UNKNOWN, TOLD_DUPLICATE = range(5)
 INTS = ("stage", "epoch", "message_epoch", "told", "runs", "attempts")
+# `given_up`: the owner abandoned its ledger write, which may still be applied.
 BOOLS = ("message", "recorded", "given_up")
 
 SPEC = Spec(
@@ -28,11 +29,11 @@
         "same_id": Sort.BOOL,
         "same_shard": Sort.BOOL,
         # The shard's epoch, the server's fence, the slots in use at the server and
-        # the owner's count of them.
+        # the owner's count of them, which is valid if `counted`.
         **dict.fromkeys(("shard_epoch", "fence", "in_use", "count"), Sort.INT),
         "counted": Sort.BOOL,
-        **{f"{name}_{c}": Sort.INT for name in INTS for c in COPIES},
-        **{f"{name}_{c}": Sort.BOOL for name in BOOLS for c in COPIES},
+        **{f"{name}_{c}": Sort.INT for name in INTS for c in SUBMISSIONS},
+        **{f"{name}_{c}": Sort.BOOL for name in BOOLS for c in SUBMISSIONS},
     },
     clocks=(),
 )
@@ -50,20 +51,21 @@
 
 @SPEC.initial
 def initial(s: State) -> Expr:
-    """A current owner, a free server, and two copies or two requests."""
+    """The owner is current, the slot is free, and c and d are one request or two."""
     parts = [s["shard_epoch"] == 1, s["fence"] == 1, s["in_use"] == 0]
     parts.append(s["counted"])
-    for c in COPIES:
+    for c in SUBMISSIONS:
         parts += [s["told", c] == TOLD_NOTHING, s["runs", c] == 0]
         parts.append(z3.Not(s["given_up", c]))
-    # Copy c may be recorded in the ledger and may be in flight, or both copies may
-    # have found the ledger without the id. This shortens the runs.
+    # Submission c may be recorded in the ledger and may be in flight, or both
+    # submissions may have read the ledger without finding the id. This shortens the
+    # runs.
     sent = s["stage", "c"] == SENT
     recorded = z3.And(z3.Or(s["stage", "c"] == RECORDED, sent), s["epoch", "c"] == 1)
     parts += [s["message", "c"] == sent, s["message_epoch", "c"] == 1]
     parts += [s["attempts", "c"] == z3.If(sent, 1, 0), s["attempts", "d"] == 0]
     parts += [s["count"] == z3.If(sent, 1, 0), z3.Not(s["message", "d"])]
-    both = [z3.And(s["stage", c] == ABSENT, s["epoch", c] == 1) for c in COPIES]
+    both = [z3.And(s["stage", c] == ABSENT, s["epoch", c] == 1) for c in SUBMISSIONS]
     new = s["stage", "d"] == NEW
     parts.append(
         z3.Or(z3.And(new, z3.Or(s["stage", "c"] == NEW, recorded)), z3.And(*both))
@@ -78,14 +80,14 @@
 
 
 def _is_in_ledger(s: State, m: str, c: str) -> Expr:
-    """Return whether the ledger of this copy's owner holds the copy's id."""
-    other = z3.And(s["same_id"], s["recorded", OTHER_COPY[c]])
+    """Return whether the ledger of the submission's owner holds its id."""
+    other = z3.And(s["same_id"], s["recorded", OTHER_SUBMISSION[c]])
     if m == LEDGER_BY_SHARD:
         other = z3.And(other, s["same_shard"])
     return z3.Or(s["recorded", c], other)
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def ledger_read(s: State, m: str, c: str) -> Step:
     """The owner looks up the id and refuses a known id as a duplicate."""
     known = _is_in_ledger(s, m, c)
@@ -96,14 +98,14 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def ledger_write_sent(s: State, m: str, c: str) -> Step:
     """The owner sends the write of an id that it did not find in the ledger."""
     next_stage = RECORDED if m == SEND_BEFORE_RECORD else WRITING
     return s["stage", c] == ABSENT, updates((("stage", c), next_stage))
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def ledger_write_applied(s: State, m: str, c: str) -> Step:
     """The table writes the id unless it is recorded; the write may be late."""
     free = z3.BoolVal(True) if m == NO_CAS else z3.Not(_is_in_ledger(s, m, c))
@@ -116,7 +118,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def ledger_write_answered(s: State, _m: str, c: str) -> Step:
     """The response arrives; a failed check means a duplicate."""
     written = s["stage", c] == WRITTEN
@@ -126,7 +128,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def refused_before_sending(s: State, m: str, c: str) -> Step:
     """The ledger is unavailable or the deadline passed; "not run" is final."""
     waiting = [s["stage", c] == n for n in (ABSENT, WRITING, WRITTEN, RECORDED)]
@@ -138,7 +140,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def request_sent(s: State, _m: str, c: str) -> Step:
     """The current owner sends a recorded request if the slot is free."""
     ready = z3.And(s["stage", c] == RECORDED, _is_owner_current(s, c))
@@ -152,7 +154,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def request_received(s: State, m: str, c: str) -> Step:
     """The server runs the request unless its epoch is older than the fence."""
     admitted = s["message_epoch", c] >= s["fence"]
@@ -167,7 +169,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def request_refused(s: State, _m: str, c: str) -> Step:
     """A draining server refuses a request and reports that it did not run."""
     stage = z3.If(s["stage", c] == SENT, NOT_RUN, s["stage", c])
@@ -176,7 +178,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def answer_received(s: State, _m: str, c: str) -> Step:
     """The response frees the slot; after "not run" the owner may resend the request."""
     ran = s["stage", c] == RAN
@@ -189,7 +191,7 @@
     )
 
 
-@SPEC.action(*EACH_COPY)
+@SPEC.action(*EACH_SUBMISSION)
 def answer_lost(s: State, m: str, c: str) -> Step:
     """The connection breaks; the request or its response may still be in flight."""
     waiting = z3.Or(*(s["stage", c] == n for n in (SENT, RAN, NOT_RUN)))
@@ -223,20 +225,20 @@
 
 @SPEC.invariant
 def runs_once(s: State) -> Expr:
-    """A non-idempotent request runs at most once across all its copies."""
-    each = [s["runs", c] <= 1 for c in COPIES]
+    """A non-idempotent request runs at most once across all its submissions."""
+    each = [s["runs", c] <= 1 for c in SUBMISSIONS]
     both = z3.Implies(s["same_id"], s["runs", "c"] + s["runs", "d"] <= 1)
     return z3.And(*each, both)
 
 
 @SPEC.invariant
 def not_run_is_true(s: State) -> Expr:
-    """A copy reported as "not run" or duplicate never runs, before or after."""
+    """A submission reported as "not run" or duplicate never runs, before or after."""
     told = [
         z3.Or(s["told", c] == TOLD_NOT_RUN, s["told", c] == TOLD_DUPLICATE)
-        for c in COPIES
+        for c in SUBMISSIONS
     ]
-    runs = [s["runs", c] > 0 for c in COPIES]
+    runs = [s["runs", c] > 0 for c in SUBMISSIONS]
     return z3.And(*(z3.Not(z3.And(t, r)) for t, r in zip(told, runs, strict=True)))
 
 
@@ -248,7 +250,7 @@
 
 @SPEC.goal
 def ran_and_told(s: State) -> Expr:
-    """One copy ran and its client was told; the other was refused as a duplicate."""
+    """Submission c ran and its client was told; d was refused as a duplicate."""
     ran = z3.And(s["told", "c"] == TOLD_RAN, s["runs", "c"] == 1)
     return z3.And(s["same_id"], ran, s["told", "d"] == TOLD_DUPLICATE)
 
--- a/formal/takeover.py
+++ b/formal/takeover.py
@@ -11,6 +11,7 @@
 from formal.bounded import Expr, Sort, Spec, State, Step, updates
 
 FORMER_EPOCH, NEW_EPOCH = 1, 2
+# Progress of the new leader.
 IDLE, EPOCH_RAISED, ROWS_READ, RECONCILED = range(4)
 TRUE, FALSE = z3.BoolVal(True), z3.BoolVal(False)
 
@@ -61,12 +62,12 @@
 @SPEC.initial
 def initial(s: State) -> Expr:
     """The former leader leads and the task is queued."""
-    clear = [z3.Not(s[name]) for name in FLAGS]
+    unset = [z3.Not(s[name]) for name in FLAGS]
     return z3.And(
         s["epoch"] == FORMER_EPOCH,
         s["stage"] == IDLE,
         s["fence_w"] == FORMER_EPOCH,
-        *clear,
+        *unset,
     )
 
 
@@ -121,7 +122,7 @@
 
 @SPEC.action()
 def lease_lapses(s: State, _m: str) -> Step:
-    """Worker w, which has no contact to a leader, stops the running task."""
+    """Worker w can't reach a leader, so its lease lapses and it stops the task."""
     return z3.Not(s["lapsed"]), updates(("lapsed", TRUE), ("run_w", FALSE))
 
 
@@ -197,8 +198,8 @@
 @SPEC.action()
 def place_on_v(s: State, _m: str) -> Step:
     """The new leader stores a new placement for a task that runs nowhere."""
-    is_nowhere = z3.Not(z3.Or(s["knows_done"], s["heard_run"], s["heard_end"]))
-    return z3.And(s["stage"] == RECONCILED, is_nowhere, z3.Not(s["placed_v"])), updates(
+    may_place = z3.Not(z3.Or(s["knows_done"], s["heard_run"], s["heard_end"]))
+    return z3.And(s["stage"] == RECONCILED, may_place, z3.Not(s["placed_v"])), updates(
         ("placed_v", TRUE)
     )
 
@@ -210,9 +211,9 @@
     A worker may report an end after its lease has lapsed, while the task is started
     elsewhere. The platform allows that and stops the later run.
     """
-    is_ended = z3.And(z3.Or(s["done"], s["forgotten"]), z3.Not(s["lapsed"]))
+    is_restart = z3.And(z3.Or(s["done"], s["forgotten"]), z3.Not(s["lapsed"]))
     return z3.And(s["placed_v"], z3.Not(s["run_v"])), updates(
-        ("run_v", TRUE), ("restarted", is_ended)
+        ("run_v", TRUE), ("restarted", is_restart)
     )
 
 
--- a/formal/task_state.py
+++ b/formal/task_state.py
@@ -3,7 +3,7 @@
 The ownership model shows that the owners of successive epochs do not overlap, so
 the owner's in-memory state is modelled once. A takeover may happen at any moment; it
 raises the epoch, clears that state and leaves the old owner's messages in flight.
-Messages may be delayed for any time, never be delivered, and be reordered.
+Messages may be delayed for any time, lost and reordered.
 
 An end is a worker's report that a task ended.
 """
@@ -40,8 +40,10 @@
 OWNER_BOOLS = ("confirmed", "reconciled")
 PAIR_INTS = ("start_epoch", "start_connection")
 LISTED = ("listed_running", "listed_end")
-MESSAGES = ("unleased", "end_sent", "ack_sent")
-PAIR_BOOLS = ("running", "kept", "start_sent", *MESSAGES, *LISTED)
+# `unleased`: the worker admitted the task's start without a valid lease.
+INITIALLY_FALSE = ("unleased", "end_sent", "ack_sent")
+# `kept`: the worker retains the task's end.
+PAIR_BOOLS = ("running", "kept", "start_sent", *INITIALLY_FALSE, *LISTED)
 TASK_INTS = ["placed", "journal"]
 TASK_BOOLS = ["known_open", "done", "finished", "late_write", "repeated"]
 
@@ -141,7 +143,7 @@
     for t in TASKS:
         parts.append(s["known_open", t])
         parts += [z3.Not(s[n, t]) for n in ("late_write", "repeated")]
-    parts += [z3.Not(s[n, w, t]) for n in MESSAGES for w, t in EACH_PAIR]
+    parts += [z3.Not(s[n, w, t]) for n in INITIALLY_FALSE for w, t in EACH_PAIR]
     parts += [is_queued(s, "y"), z3.Or(*(case(s) for case in (is_queued, *STAGES)))]
     return z3.And(*parts)
 
--- a/formal/tasks.py
+++ b/formal/tasks.py
@@ -44,12 +44,12 @@
 from marjoramgrade.decisions.fencing import WORKER_LEASE_MS
 from marjoramgrade.decisions.ownership import DRIFT_MARGIN_MS
 
-# The owner.
+# Actions of the owner.
 
 
 @SPEC.action()
 def takeover(s: State, _m: str) -> Step:
-    """A new owner, which has no other state, connects to every worker."""
+    """A new owner starts without state and connects to every worker."""
     changes = updates(("epoch", NEXT_EPOCH), ("rows_read", FALSE))
     for w in WORKER_NUMBER:
         lapse = s["clock_o"] + WORKER_LEASE_MS + DRIFT_MARGIN_MS
@@ -117,7 +117,7 @@
 
 @SPEC.action(*EACH_WORKER)
 def worker_lapsed(s: State, m: str, w: str) -> Step:
-    """The owner requeues the tasks of a worker whose lease has lapsed for certain."""
+    """The owner requeues the tasks of a worker whose lease has certainly lapsed."""
     margin = DRIFT_MARGIN_MS if m == NO_MARGIN else 0
     changes = updates(
         (("confirmed", w), FALSE),
@@ -225,7 +225,7 @@
     return z3.And(allowed, s["confirmed", w]), updates((("ack_sent", w, t), TRUE))
 
 
-# The workers.
+# Actions of the workers.
 
 
 @SPEC.action(*EACH_WORKER)
@@ -351,8 +351,8 @@
 @SPEC.goal
 def started_ended_and_acknowledged(s: State) -> Expr:
     """A task ran, its end was recorded and the worker discarded the end."""
-    dropped = z3.And(z3.Not(s["kept", "w", "y"]), z3.Not(s["ack_sent", "w", "y"]))
-    return z3.And(s["finished", "y"], s["done", "y"], dropped)
+    discarded = z3.And(z3.Not(s["kept", "w", "y"]), z3.Not(s["ack_sent", "w", "y"]))
+    return z3.And(s["finished", "y"], s["done", "y"], discarded)
 
 
 @SPEC.goal
