--- a/bench/rig.py
+++ b/bench/rig.py
@@ -19,7 +19,7 @@
 
 SETTLE_S = 2.0
 WINDOW_S = 4.0
-# Enough concurrent submissions to fill the journal's transactions.
+# Enough concurrent submissions to fill the record writer's transactions.
 SUBMITTERS = 50
 TEAM = "team-0"
 LIMITED_TEAM = "team-1"
--- a/marjoramgrade/controllers/forwarding.py
+++ b/marjoramgrade/controllers/forwarding.py
@@ -48,7 +48,7 @@
 
 # Pause between attempts while another instance takes over the lead.
 RETRY_MS = 60
-# Time-out of one request to the leader. Commits usually take 20 ms, or 1 s on a slow
+# Timeout of one request to the leader. Commits usually take 20 ms, or 1 s on a slow
 # store.
 ATTEMPT_TIMEOUT_MS = 1_500
 # A job that reached no leader is refused once no leader has sent a reply or heartbeat
--- a/marjoramgrade/controllers/leaderactions.py
+++ b/marjoramgrade/controllers/leaderactions.py
@@ -59,7 +59,7 @@
 # A leader that the store has not confirmed for this long extends no lease of a worker.
 # A successor can therefore compute when the runs of unreachable workers have ended.
 GRANT_LIMIT_MS = 3_500
-# Added to the expected duration of advisor calls to get the time-out of a call. A
+# Added to the expected duration of advisor calls to get the timeout of a call. A
 # channel through an instance without power delays the step by this much, and an urgent
 # step has some 700 ms to spare.
 ADVICE_MARGIN_MS = 500
--- a/marjoramgrade/controllers/leadership.py
+++ b/marjoramgrade/controllers/leadership.py
@@ -186,7 +186,7 @@
             self.spawn(self._check_process(self._leader))
 
     async def _check_process(self, leader: LeaderRow) -> None:
-        """Skip the heartbeat time-out if the process of the leader has ended."""
+        """Skip the heartbeat timeout if the process of the leader has ended."""
         if (
             await self._probe.has_process_ended(leader.leader_id)
             and leader == self._leader
@@ -243,7 +243,7 @@
                 )
             )
         except MarjoramgradeError as error:
-            # The successor takes over after the heartbeat time-out instead.
+            # The successor takes over after the heartbeat timeout instead.
             logs.log_event("lead_release_failed", code=error.code)
         self._peers.tell(TellPeers(LeaderLeft(epoch)))
 
--- a/marjoramgrade/controllers/shardtasks.py
+++ b/marjoramgrade/controllers/shardtasks.py
@@ -331,7 +331,10 @@
         return self.scheduler.pool.total_capacity
 
     def free_resources(self) -> Resources:
-        """Return the unreserved capacity of the workers that accept new tasks."""
+        """Return the capacity that is neither allocated nor reserved.
+
+        Only the workers that accept new tasks count.
+        """
         total = ZERO_RESOURCES
         for _, free in self.scheduler.pool.iter_schedulable():
             total = total + free
--- a/marjoramgrade/decisions/advisorchannels.py
+++ b/marjoramgrade/decisions/advisorchannels.py
@@ -29,8 +29,8 @@
     """Pending advisor calls by the instance that makes them.
 
     Attributes:
-        own_id: ID of this instance, whose channel is reserved for short calls.
-        version_by_id: Registration versions of the other instances by ID.
+        own_id: Id of this instance, whose channel is reserved for short calls.
+        version_by_id: Registration versions of the other instances by id.
     """
 
     own_id: str
@@ -94,7 +94,7 @@
         """Replace the other instances and reset the back-off of new processes.
 
         Args:
-            version_by_id: Registration versions by instance ID; a changed version
+            version_by_id: Registration versions by instance id; a changed version
                 belongs to a new process, which may respond.
         """
         for instance_id, version in version_by_id.items():
--- a/marjoramgrade/decisions/leadermonitor.py
+++ b/marjoramgrade/decisions/leadermonitor.py
@@ -23,7 +23,8 @@
 
     Attributes:
         epoch: Number of the leadership.
-        leader_id: ID of the leading instance, or empty once it has resigned.
+        leader_id: Id of the leading instance, or empty once it has released the
+            leadership.
     """
 
     epoch: int
--- a/marjoramgrade/decisions/limits.py
+++ b/marjoramgrade/decisions/limits.py
@@ -124,7 +124,7 @@
             self._running_by_team[team] = running + amount
 
     def release(self, team: str, amount: Resources) -> None:
-        """Release the reservation of a task that ended.
+        """Release the amount of a task that ended.
 
         Raises:
             ValueError: If more is released than was reserved.
--- a/marjoramgrade/decisions/stepplanning.py
+++ b/marjoramgrade/decisions/stepplanning.py
@@ -64,7 +64,7 @@
 
         Args:
             asked: The advice call that returned the response.
-            text_by_worker: Tickets by ID of the workers that may run the step.
+            text_by_worker: Tickets by id of the workers that may run the step.
             until_ms: Time at which the tickets expire.
         """
         cache = self._cache_of(asked)
--- a/marjoramgrade/decisions/tickets.py
+++ b/marjoramgrade/decisions/tickets.py
@@ -34,7 +34,7 @@
 
     Attributes:
         ticket_by_worker: The newest ticket of each worker that may run the step.
-        asked_workers: IDs of workers that the advisor has accepted or rejected.
+        asked_workers: Ids of workers that the advisor has accepted or rejected.
         is_pending: Whether a call is in progress.
         next_call_ms: Earliest time of the next call.
     """
--- a/marjoramgrade/messages/routing.py
+++ b/marjoramgrade/messages/routing.py
@@ -39,7 +39,7 @@
         owner: Instance that owns it.
         epoch: Epoch of the owner.
         total: Capacity of the workers.
-        free: Capacity that is not reserved.
+        free: Capacity that is neither allocated nor reserved.
         queued: Number of queued tasks.
     """
 
--- a/marjoramgrade/model.py
+++ b/marjoramgrade/model.py
@@ -161,7 +161,7 @@
     Attributes:
         name: Unique name.
         share: Weight of the team when the cell is full, at least one.
-        limit: Upper limit across the cell; a zero amount means no limit.
+        limit: Upper limit across the fleet; a zero amount means no limit.
         queue_bound: Maximum number of its tasks that may wait in one shard.
     """
 
--- a/marjoramgrade/transport.py
+++ b/marjoramgrade/transport.py
@@ -37,7 +37,7 @@
 # until the buffer has space.
 MAX_BUFFERED_CHUNKS = 4
 
-# Tornado's error text for a time-out after the connection was established.
+# Tornado's error text for a timeout after the connection was established.
 _REQUEST_TIMEOUT_TEXT = "Timeout during request"
 
 
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -82,7 +82,7 @@
 
 
 def test_lost_response_is_resolved_and_the_row_stays_writable():
-    # Guards against a job that is stored but whose outcome stays unknown for ever.
+    # Guards against a job that is stored but whose outcome stays unknown forever.
     async def run():
         async with leading() as (store, controller, _):
             store.mode = "lost"
--- a/tests/test_httppool.py
+++ b/tests/test_httppool.py
@@ -44,7 +44,8 @@
 
 
 def test_connection_is_reused():
-    # Guards against opening a connection for each request; connections cost money.
+    # Guards against opening a connection for each request; the users count each new
+    # connection as cost.
     async def run():
         server, address, connections = await serve(answer)
         pool = HttpPool(address)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -248,7 +248,7 @@
 
 def test_renewal_older_than_the_last_heartbeat_counts_as_stalled_since_then():
     # Guards against 0.4 s more without a leader after each failure of a leader: the
-    # renewal row counted as stalled only from the heartbeat time-out on
+    # renewal row counted as stalled only from the heartbeat timeout on
     # (ledgerwell-accounts-grown trouble-3).
     async def run():
         store = MemoryRowStore()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak run with faults."""
+"""A short soak run under overlapping faults."""
 
 from __future__ import annotations
 
--- a/tests/test_stepscheduling.py
+++ b/tests/test_stepscheduling.py
@@ -253,7 +253,7 @@
 
 
 def test_unanswered_start_runs_once():
-    # Guards against a task that waits for ever, or runs twice, after the response to
+    # Guards against a task that waits forever, or runs twice, after the response to
     # its start was lost.
     async def run():
         async with leading() as (_, scheduler, ports):
--- a/tests/test_storerouter.py
+++ b/tests/test_storerouter.py
@@ -108,7 +108,7 @@
 
 
 def test_direct_path_is_used_again_once_it_works():
-    # Guards against relaying for ever after a short failure of the direct path.
+    # Guards against relaying forever after a short failure of the direct path.
     async def run():
         async with router_to("down") as (router, link, relays):
             await router.ask(WRITE)
--- a/tests/test_teamusage.py
+++ b/tests/test_teamusage.py
@@ -9,7 +9,7 @@
 
 
 def test_limit_of_zero_means_none():
-    # Guards against treating a limit of 0 as no capacity at all.
+    # Guards against treating a limit of 0 as no capacity at all; 0 means no limit.
     usage = TeamUsage()
     policies = {"red": TeamPolicy("red", limit=Resources(cpu_millis=2_000))}
     assert usage.has_capacity("red", cores(2, 10**6), policies)
